--- a/src/ranges/hold_keeper.h
+++ b/src/ranges/hold_keeper.h
@@ -5,18 +5,18 @@
 
 namespace heatherdrift {
 
-/// Terms of the holds that a backend server is given.
+/// Limits on the holds granted to a backend server. A hold permits it to serve keys for a limited time.
 struct hold_terms {
-    duration lease {}; ///< A hold ends at the latest this long after the range map was confirmed.
-    duration promise {}; ///< Other owners promise for this long that they take no keys over.
-    duration mostExtension {}; ///< Promises extend a hold at most this long beyond its lease.
-    duration longestHold {}; ///< Backend servers accept no longer hold.
-    double clockDrift = 0.02; ///< Share by which a backend server's clock may run slow.
+    duration lease {}; ///< Longest time from the last confirmation of the range map to the end of a hold.
+    duration promise {}; ///< Period for which other owners promise not to take over any keys.
+    duration mostExtension {}; ///< Longest extension of a hold beyond the lease by promises.
+    duration longestHold {}; ///< Longest hold that backend servers accept.
+    double clockDrift = 0.02; ///< Maximum relative clock drift of a backend server.
 
     bool operator==(const hold_terms&) const = default;
 };
 
-/// Keys that a backend server says it holds or still works on.
+/// Keys that a backend server reports as held or still in use.
 struct held_range {
     key_range keys;
     fencing_token fence = 0;
@@ -24,15 +24,15 @@
     bool operator==(const held_range&) const = default;
 };
 
-/// Keys that a backend server gave up, with what lets the next owner start with its state.
+/// Keys released by a backend server.
 struct released_range {
     key_range keys;
-    std::string handover;
+    std::string handover; ///< Lets the next owner start with the state of this one.
 
     bool operator==(const released_range&) const = default;
 };
 
-/// What a backend server says of its keys.
+/// Report of a backend server on its keys.
 struct hold_report {
     life_name life;
     std::vector<held_range> holds;
@@ -41,7 +41,7 @@
     bool operator==(const hold_report&) const = default;
 };
 
-/// What a backend server is to hold.
+/// Keys granted to a backend server.
 struct granted_range {
     key_range keys;
     fencing_token fence = 0;
@@ -51,56 +51,59 @@
 };
 
 struct hold_grant {
-    bool isValid = false; ///< False: nothing is renewed and nothing is taken away.
+    bool isValid = false; ///< False: no hold is renewed or revoked.
     std::vector<granted_range> ranges;
-    duration hold {}; ///< Counted by the backend server from when it sent its report.
+    duration hold {}; ///< Starts when the backend server sent its report.
 
     bool operator==(const hold_grant&) const = default;
 };
 
-/// Decides what the backend server beside this node may hold, and when it holds something no more. Holds end by the
-/// boot clock, which a suspended machine does not stop.
+/// Grants holds to the local backend server and detects when they have ended. Expiry is based on the boot clock, which
+/// continues while the machine is suspended.
 class hold_keeper {
 public:
-    /// At the start of a process, holds that an earlier process gave may last for a whole lease.
+    /// Holds granted by a previous process may still last for a whole lease or promise after the start.
     hold_keeper(const hold_terms&, time_point startedAt);
 
-    /// The range map was the current one in the store at the time, or later.
+    /// Sets the range map; it was current in the store at the given time or later.
     void confirm(const range_map&, time_point at);
-    /// All other owners promised at the time, or later, not to take keys of the life over.
+    /// Extends the holds: all other owners promised at the given time or later not to take over keys of this
+    /// incarnation.
     void extend(time_point at);
-    /// A newer range map is known; the time of the last confirmation stays.
+    /// Sets a newer range map without changing the time of the last confirmation.
     void setMap(const range_map& map);
-    /// A backend server with another life answers from now on; the earlier one has ended.
+    /// Switches to a new incarnation of the backend server; the previous one has ended.
     void startLife(const life_name&);
     const life_name& life() const { return m_life; }
     time_point confirmedAt() const { return m_confirmedAt; }
 
-    /// Takes in a report of the life; reports come in the order in which they were sent.
+    /// Processes a report of the current incarnation; reports must arrive in the order in which they were sent.
     void report(const hold_report&);
-    /// What the backend server is told as the answer to its last report.
+    /// Creates the answer to the last report of the backend server.
     hold_grant grant(time_point receivedAt);
-    /// Range map with what the backend server of this life holds no more; equal to the given one if that is nothing.
+    /// Returns the map with the keys released that the current incarnation no longer holds; unchanged if there are
+    /// none.
     range_map releaseUnheld(const range_map&, time_point now) const;
-    /// Whether a request for the key may be sent to the backend server.
+    /// Whether requests for the key may be sent to the backend server.
     bool mayServe(key_number, time_point now) const;
-    /// The backend server said that it does not hold the key.
+    /// Discards the grants after the backend server rejected a key as not held.
     void distrustGrants() { m_granted.clear(); }
     std::size_t grantedCount() const { return m_granted.size(); }
 
 private:
     time_point latestHoldEnd() const;
-    duration holdAt(time_point receivedAt) const;
+    duration holdDuration(time_point receivedAt) const;
     bool isHeld(key_range) const;
 
     hold_terms m_terms;
     life_name m_life;
     range_map m_map;
-    time_point m_confirmedAt {}; ///< The epoch of the clock: never.
+    time_point m_confirmedAt {}; ///< Epoch of the clock: never confirmed.
     time_point m_promisedUntil = time_point::min();
-    time_point m_holdEnd; ///< No hold that was ever given to the life lasts longer.
-    std::vector<granted_range> m_granted; ///< By the last answer.
-    std::vector<granted_range> m_grantedBefore; ///< By the answer that the last report may not have known.
+    time_point m_holdEnd; ///< Latest end of any hold granted to the current incarnation.
+    std::vector<granted_range> m_granted; ///< Granted by the last answer.
+    std::vector<granted_range>
+        m_previouslyGranted; ///< Granted by the previous answer; the last report may predate the last one.
     std::vector<held_range> m_reported;
     std::vector<released_range> m_released;
     int m_reportCount = 0;
--- a/src/ranges/internal/hold_keeper.cpp
+++ b/src/ranges/internal/hold_keeper.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-    /// A shorter hold would end before the next report and only interrupt work.
-    constexpr auto shortestHold = std::chrono::milliseconds(200);
-    /// Requests are not sent so shortly before the end of a hold.
+    /// A shorter hold would end before the next report and only interrupt requests.
+    constexpr auto minHold = std::chrono::milliseconds(200);
+    /// Requests are no longer sent within this time before the end of a hold.
     constexpr auto serveMargin = std::chrono::milliseconds(50);
-    /// The first report after a start may be an old one that was delayed, so that one alone proves no absence.
-    constexpr int reportsForAbsence = 2;
-    constexpr std::size_t mostRemembered = 4096; ///< Releases that wait to be recorded in the range map.
+    /// Keys missing from a report count as not held only from this report on: the first report after a start may be an
+    /// old one that was delayed.
+    constexpr int minReportsForRelease = 2;
+    constexpr std::size_t maxPendingReleases = 4096; ///< Bound on releases not yet recorded in the range map.
 
     template <typename Ranges> bool anyIntersects(const Ranges& ranges, key_range keys)
     {
@@ -42,12 +43,12 @@
 
 void hold_keeper::startLife(const life_name& life)
 {
-    // An earlier process may have given holds to the first life that this process sees, but to no later one.
+    // A previous process may have granted holds to the first incarnation seen by this process, but to no later one.
     if (!m_life.empty())
         m_holdEnd = time_point::min();
     m_life = life;
     m_granted.clear();
-    m_grantedBefore.clear();
+    m_previouslyGranted.clear();
     m_reported.clear();
     m_released.clear();
     m_reportCount = 0;
@@ -61,9 +62,10 @@
     return std::max(byStore, std::min(m_promisedUntil, byStore + m_terms.mostExtension));
 }
 
-duration hold_keeper::holdAt(time_point receivedAt) const
+duration hold_keeper::holdDuration(time_point receivedAt) const
 {
-    // The report was sent before it was received, so a hold counted from its sending ends before this one.
+    // The backend server counts the hold from when it sent the report, so its hold ends before the one counted from
+    // the receipt.
     const duration left = latestHoldEnd() - receivedAt;
     const auto byClock = std::chrono::duration_cast<duration>(left * (1 - m_terms.clockDrift));
     return std::min(byClock, m_terms.longestHold);
@@ -77,39 +79,40 @@
     m_reported = report.holds;
     for (const auto& range : report.released)
         m_released.push_back(range);
-    // A release that the range map does not wait for is of no use any more.
+    // Drops releases of keys that this incarnation no longer owns or has to release according to the map.
     std::erase_if(m_released, [&](const auto& released) {
         return std::ranges::none_of(m_map.ranges(), [&](const auto& range) {
             return range.keys.intersects(released.keys)
                 && (range.owner == m_life || std::ranges::find(range.releasing, m_life) != range.releasing.end());
         });
     });
-    if (m_released.size() > mostRemembered)
-        m_released.erase(m_released.begin(), m_released.end() - mostRemembered);
+    if (m_released.size() > maxPendingReleases)
+        m_released.erase(m_released.begin(), m_released.end() - maxPendingReleases);
 }
 
 hold_grant hold_keeper::grant(time_point receivedAt)
 {
     hold_grant grant;
-    grant.hold = holdAt(receivedAt);
-    if (grant.hold < shortestHold)
+    grant.hold = holdDuration(receivedAt);
+    if (grant.hold < minHold)
         return {};
     grant.isValid = true;
     for (const auto& range : m_map.ranges()) {
         if (range.owner != m_life || !range.releasing.empty())
             continue;
         grant.ranges.push_back({ range.keys, range.fence, range.handover });
-        // Granted keys are held anew: what was released of them before says nothing any more.
+        // Granted keys are held again, so earlier releases of them are void.
         std::erase_if(m_released, [&](const auto& released) { return released.keys.intersects(range.keys); });
     }
-    m_grantedBefore = std::exchange(m_granted, grant.ranges);
+    m_previouslyGranted = std::exchange(m_granted, grant.ranges);
     m_holdEnd = std::max(m_holdEnd, receivedAt + grant.hold);
     return grant;
 }
 
 bool hold_keeper::isHeld(key_range keys) const
 {
-    return anyIntersects(m_reported, keys) || anyIntersects(m_granted, keys) || anyIntersects(m_grantedBefore, keys);
+    return anyIntersects(m_reported, keys) || anyIntersects(m_granted, keys)
+        || anyIntersects(m_previouslyGranted, keys);
 }
 
 range_map hold_keeper::releaseUnheld(const range_map& map, time_point now) const
@@ -122,7 +125,7 @@
             out = out.release(m_life, range.keys, "");
             continue;
         }
-        if (m_reportCount < reportsForAbsence)
+        if (m_reportCount < minReportsForRelease)
             continue;
         bool isReleased = false;
         for (const auto& released : m_released) {
--- a/src/ranges/internal/key_load.cpp
+++ b/src/ranges/internal/key_load.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-    constexpr auto fadeInterval = std::chrono::milliseconds(100); ///< Fading touches every key, so it is done rarely.
-    constexpr double forgottenShare = 0.02; ///< Of one request's load; a key below it says nothing of the near future.
+    constexpr auto decayInterval = std::chrono::milliseconds(100); ///< Limits the cost: a decay step visits all keys.
+    constexpr double evictionThreshold
+        = 0.02; ///< Fraction of one request; a lower load does not predict future requests.
 
 } // namespace
 
@@ -18,25 +19,25 @@
 {
 }
 
-double key_load::fadeFactor(time_point now) const
+double key_load::decayFactor(time_point now) const
 {
-    return std::exp(-std::chrono::duration<double>(now - m_fadedAt) / std::chrono::duration<double>(m_timeConstant));
+    return std::exp(-std::chrono::duration<double>(now - m_decayedAt) / std::chrono::duration<double>(m_timeConstant));
 }
 
-void key_load::fade(time_point now)
+void key_load::decay(time_point now)
 {
-    if (now - m_fadedAt < fadeInterval)
+    if (now - m_decayedAt < decayInterval)
         return;
-    const double factor = fadeFactor(now);
-    m_fadedAt = now;
+    const double factor = decayFactor(now);
+    m_decayedAt = now;
     for (auto& [key, load] : m_loads)
         load *= factor;
-    std::erase_if(m_loads, [](const auto& entry) { return entry.second < forgottenShare; });
+    std::erase_if(m_loads, [](const auto& entry) { return entry.second < evictionThreshold; });
 }
 
 void key_load::add(key_number key, double amount, time_point now)
 {
-    fade(now);
+    decay(now);
     m_loads[key] += amount;
 }
 
@@ -47,12 +48,12 @@
     double sum = 0;
     for (auto at = m_loads.lower_bound(keys.first); at != m_loads.end() && at->first <= keys.last; ++at)
         sum += at->second;
-    return sum * fadeFactor(now);
+    return sum * decayFactor(now);
 }
 
 key_range key_load::densest(key_range within, double amount, time_point now) const
 {
-    const double needed = amount / fadeFactor(now);
+    const double needed = amount / decayFactor(now);
     key_range best = within;
     double sum = 0;
     auto first = m_loads.lower_bound(within.first);
@@ -69,15 +70,15 @@
     return best;
 }
 
-std::vector<std::pair<key_number, double>> key_load::heaviest(std::size_t most, time_point now) const
+std::vector<std::pair<key_number, double>> key_load::heaviest(std::size_t maxCount, time_point now) const
 {
     std::vector<std::pair<key_number, double>> out(m_loads.begin(), m_loads.end());
-    if (out.size() > most) {
-        std::ranges::nth_element(out, out.begin() + static_cast<std::ptrdiff_t>(most), std::greater<>(),
+    if (out.size() > maxCount) {
+        std::ranges::nth_element(out, out.begin() + static_cast<std::ptrdiff_t>(maxCount), std::greater<>(),
             &std::pair<key_number, double>::second);
-        out.resize(most);
+        out.resize(maxCount);
     }
-    const double factor = fadeFactor(now);
+    const double factor = decayFactor(now);
     for (auto& [key, load] : out)
         load *= factor;
     return out;
--- a/src/ranges/internal/range_map.cpp
+++ b/src/ranges/internal/range_map.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-    bool canJoin(const owned_range& left, const owned_range& right)
+    bool canMerge(const owned_range& left, const owned_range& right)
     {
         return left.owner == right.owner && left.fence == right.fence && left.releasing == right.releasing
             && left.handover == right.handover && left.silenceMs == right.silenceMs;
     }
 
-    std::vector<owned_range> joined(std::vector<owned_range> ranges)
+    std::vector<owned_range> mergeIdentical(std::vector<owned_range> ranges)
     {
         std::vector<owned_range> out;
         for (auto& range : ranges) {
-            if (!out.empty() && canJoin(out.back(), range))
+            if (!out.empty() && canMerge(out.back(), range))
                 out.back().keys.last = range.keys.last;
             else
                 out.push_back(std::move(range));
@@ -28,7 +28,7 @@
         return out;
     }
 
-    /// The same ranges, split so that none crosses the ends of the keys.
+    /// Splits the ranges at the ends of the given keys, so that each lies inside or outside of them.
     std::vector<owned_range> splitAt(const std::vector<owned_range>& ranges, key_range keys)
     {
         std::vector<owned_range> out;
@@ -58,10 +58,11 @@
             names.push_back(name);
     }
 
-    /// Names of lives, each written once: with hundreds of ranges they would not fit into a row of the store.
+    /// Numbers the incarnations, so that each name is written once: with hundreds of ranges, repeated names would not
+    /// fit into a row of the store.
     class life_index {
     public:
-        std::size_t of(const life_name& life)
+        std::size_t indexOf(const life_name& life)
         {
             const auto [entry, isNew] = m_positions.try_emplace(life, m_names.size());
             if (isNew)
@@ -79,11 +80,11 @@
     {
         const auto found = document.find("lives");
         if (found == document.end() || !found->is_array())
-            return notRun(error_code::bad_request, "a range map needs lives");
+            return notRun(error_code::bad_request, "range map without a list of lives");
         std::vector<life_name> lives;
         for (const auto& name : *found) {
             if (!name.is_string())
-                return notRun(error_code::bad_request, "malformed life");
+                return notRun(error_code::bad_request, "malformed life in a range map: not a string");
             lives.push_back(name);
         }
         return lives;
@@ -92,7 +93,7 @@
     result<life_name> readLife(const json& value, const std::vector<life_name>& lives)
     {
         if (!value.is_number_unsigned() || value.get<std::size_t>() >= lives.size())
-            return notRun(error_code::bad_request, "a range names an unknown life");
+            return notRun(error_code::bad_request, "range refers to a life that is not listed");
         return lives[value.get<std::size_t>()];
     }
 
@@ -101,7 +102,7 @@
         if (!value.is_array() || value.size() != 7 || !value[0].is_number_unsigned() || !value[1].is_number_unsigned()
             || !value[3].is_number_integer() || !value[4].is_array() || !value[5].is_string()
             || !value[6].is_number_integer())
-            return notRun(error_code::bad_request, "malformed range");
+            return notRun(error_code::bad_request, "malformed range in a range map");
         BOOST_OUTCOME_TRY(owner, readLife(value[2], lives));
         owned_range range { { value[0], value[1] }, owner, value[3], {}, value[5], value[6] };
         for (const auto& earlier : value[4]) {
@@ -130,7 +131,7 @@
 }
 
 range_map::range_map(std::vector<owned_range> ranges)
-    : m_ranges(joined(std::move(ranges)))
+    : m_ranges(mergeIdentical(std::move(ranges)))
 {
 }
 
@@ -154,7 +155,7 @@
             out.push_back(range);
             continue;
         }
-        // Both tokens are above those of all other owners of their keys, so the higher one is, too.
+        // Each token is higher than those of all other owners of its keys, so the higher one is valid for both ranges.
         auto& last = out.back();
         last.keys.last = range.keys.last;
         last.fence = std::max(last.fence, range.fence);
@@ -262,9 +263,9 @@
     for (const auto& range : m_ranges) {
         json releasing = json::array();
         for (const auto& life : range.releasing)
-            releasing.push_back(lives.of(life));
-        list.push_back({ range.keys.first, range.keys.last, lives.of(range.owner), range.fence, std::move(releasing),
-            range.handover, range.silenceMs });
+            releasing.push_back(lives.indexOf(life));
+        list.push_back({ range.keys.first, range.keys.last, lives.indexOf(range.owner), range.fence,
+            std::move(releasing), range.handover, range.silenceMs });
     }
     return json { { "lives", lives.names() }, { "ranges", std::move(list) } }.dump();
 }
@@ -274,19 +275,19 @@
     BOOST_OUTCOME_TRY(document, parseJson(text, error_code::bad_request));
     const auto list = document.is_object() ? document.find("ranges") : document.end();
     if (!document.is_object() || list == document.end() || !list->is_array() || list->empty())
-        return notRun(error_code::bad_request, "a range map needs ranges");
+        return notRun(error_code::bad_request, "range map without ranges");
     BOOST_OUTCOME_TRY(lives, readLives(document));
     std::vector<owned_range> ranges;
     key_number next = 0;
     for (const auto& value : *list) {
         BOOST_OUTCOME_TRY(range, readRange(value, lives));
         if (range.keys.first != next || range.keys.last < range.keys.first || range.keys.last > lastKey)
-            return notRun(error_code::bad_request, "ranges must be in order without gaps");
+            return notRun(error_code::bad_request, "ranges of a range map must be ordered and without gaps");
         next = range.keys.last + 1;
         ranges.push_back(std::move(range));
     }
     if (next != lastKey + 1)
-        return notRun(error_code::bad_request, "ranges must cover all keys");
+        return notRun(error_code::bad_request, "ranges of a range map must cover all keys");
     return range_map(std::move(ranges));
 }
 
--- a/src/ranges/internal/range_planner.cpp
+++ b/src/ranges/internal/range_planner.cpp
@@ -11,27 +11,27 @@
 
 namespace {
 
-    /// Even a busy candidate takes a small share, so that one report cannot send everything to one server.
-    constexpr double leastWeight = 0.1;
+    /// Minimum weight of a loaded candidate, so that a single load report cannot assign everything to one server.
+    constexpr double minWeight = 0.1;
 
-    std::vector<double> spareShares(const std::vector<range_candidate>& candidates)
+    std::vector<double> spareCapacityShares(const std::vector<range_candidate>& candidates)
     {
         std::vector<double> shares;
         for (const auto& candidate : candidates)
-            shares.push_back(std::max(leastWeight, 1 - candidate.load));
+            shares.push_back(std::max(minWeight, 1 - candidate.load));
         const double sum = std::accumulate(shares.begin(), shares.end(), 0.0);
         for (auto& share : shares)
             share /= sum;
         return shares;
     }
 
-    /// Divides the keys of some ranges among the candidates by their shares, in order.
+    /// Divides the keys of the ranges among the candidates in proportion to their spare capacity, in key order.
     range_map divide(const range_map& map, const std::vector<key_range>& ranges,
         const std::vector<range_candidate>& candidates, fencing_token fence, std::int64_t silenceMs = 0)
     {
         const double total = std::accumulate(
             ranges.begin(), ranges.end(), 0.0, [](double sum, const key_range& range) { return sum + range.size(); });
-        const auto shares = spareShares(candidates);
+        const auto shares = spareCapacityShares(candidates);
         range_map out = map;
         std::size_t target = 0;
         double room = shares[0] * total;
@@ -88,8 +88,9 @@
 
 namespace {
 
-    /// Densest part of the owner's settled ranges with about the given load; empty if there is none that is a part.
-    std::optional<key_range> partWithLoad(
+    /// Smallest proper part of one of the owner's ranges with about the given load, among those without earlier owners
+    /// that may hold keys; empty if there is none.
+    std::optional<key_range> smallestPartWithLoad(
         const range_map& map, const life_name& owner, const key_load& loads, double amount, time_point now)
     {
         std::optional<key_range> best;
@@ -104,31 +105,32 @@
         return best;
     }
 
-    /// Moves keys of the owner until it has no more than its share, and counts their demand at the receivers.
-    range_map shed(const range_map& map, range_candidate& self, const key_load& loads,
-        const std::vector<range_candidate*>& others, const shed_terms& terms, fencing_token fence, time_point now)
+    /// Moves keys of the donor until its load is close to that of the receivers, and updates the loads of both.
+    range_map moveExcess(const range_map& map, range_candidate& donor, const key_load& loads,
+        const std::vector<range_candidate*>& others, const rebalance_settings& settings, fencing_token fence,
+        time_point now)
     {
         const double total = loads.total(now);
-        if (self.load < terms.leastLoad || total <= 0 || others.empty())
+        if (donor.load < settings.minLoad || total <= 0 || others.empty())
             return map;
-        const double sum = std::accumulate(others.begin(), others.end(), self.load,
+        const double sum = std::accumulate(others.begin(), others.end(), donor.load,
             [](double before, const range_candidate* other) { return before + other->load; });
         const double mean = sum / static_cast<double>(others.size() + 1);
-        const double ownLoad = self.load;
+        const double initialLoad = donor.load;
         range_map out = map;
-        for (int moves = 0; moves < terms.mostMoves && out.ranges().size() < range_map::mostRanges; ++moves) {
+        for (int moves = 0; moves < settings.maxMovesPerDonor && out.ranges().size() < range_map::maxRanges; ++moves) {
             auto& target = **std::ranges::min_element(others, {}, &range_candidate::load);
-            const double gap = self.load - target.load;
-            if (self.load < terms.leastLoad || gap < terms.leastGap)
+            const double gap = donor.load - target.load;
+            if (donor.load < settings.minLoad || gap < settings.minLoadGap)
                 break;
-            // No more than fills the receiver up to the mean, or it would be the next one to give keys away.
-            const double moved = std::min(gap / 2, std::max(mean - target.load, terms.leastGap / 2));
-            const auto part = partWithLoad(out, self.life, loads, total * moved / ownLoad, now);
+            // Fills the receiver at most up to the mean; otherwise it would be the next donor.
+            const double movedLoad = std::min(gap / 2, std::max(mean - target.load, settings.minLoadGap / 2));
+            const auto part = smallestPartWithLoad(out, donor.life, loads, total * movedLoad / initialLoad, now);
             if (!part)
                 break;
-            const double partLoad = ownLoad * loads.of(*part, now) / total;
+            const double partLoad = initialLoad * loads.of(*part, now) / total;
             out = out.assign(*part, target.life, fence);
-            self.load -= partLoad;
+            donor.load -= partLoad;
             target.load += partLoad;
         }
         return out;
@@ -136,23 +138,24 @@
 
 } // namespace
 
-range_map balanceLoad(const range_map& map, std::vector<owner_demand> owners, const shed_terms& terms,
+range_map balanceLoad(const range_map& map, std::vector<owner_demand> owners, const rebalance_settings& settings,
     fencing_token fence, time_point now)
 {
     std::ranges::sort(owners, std::greater<>(), [](const owner_demand& one) { return one.owner.load; });
-    const bool isCrowded = map.ranges().size() > range_map::mostRanges / 2;
-    range_map out = isCrowded ? map.mergeSettled() : map;
-    std::size_t givers = 0;
-    for (auto& giver : owners) {
-        if (!giver.keys || givers == terms.mostGivers)
+    const bool isNearlyFull = map.ranges().size() > range_map::maxRanges / 2;
+    range_map out = isNearlyFull ? map.mergeSettled() : map;
+    std::size_t donorCount = 0;
+    for (auto& entry : owners) {
+        if (!entry.keys || donorCount == settings.maxDonors)
             continue;
         std::vector<range_candidate*> targets;
         for (auto& other : owners) {
-            if (&other != &giver)
+            if (&other != &entry)
                 targets.push_back(&other.owner);
         }
-        const auto before = std::exchange(out, shed(out, giver.owner, *giver.keys, targets, terms, fence, now));
-        givers += out != before;
+        const auto before
+            = std::exchange(out, moveExcess(out, entry.owner, *entry.keys, targets, settings, fence, now));
+        donorCount += out != before;
     }
     return out;
 }
--- a/src/ranges/range_map.h
+++ b/src/ranges/range_map.h
@@ -14,7 +14,7 @@
 using key_number = std::uint32_t;
 constexpr key_number lastKey = 65535;
 
-/// Keys from first to last, both included.
+/// Inclusive range of keys.
 struct key_range {
     key_number first = 0;
     key_number last = 0;
@@ -26,60 +26,63 @@
     auto operator<=>(const key_range&) const = default;
 };
 
-/// One run of a backend server from its start to its end. A restart is a new life, also under the same id.
+/// Identifies an incarnation of a backend server, i.e. one run from its start to its end. A restart is a new
+/// incarnation, even under the same id.
 using life_name = std::string;
 life_name makeLife(const std::string& id, std::int64_t startedAtMs);
-/// Start of a life in milliseconds since 1970; 0 if the name does not tell.
+/// Start of an incarnation in milliseconds since 1970; 0 if the name does not contain it.
 std::int64_t startOf(const life_name&);
-/// Only grows over the history of a key; the backend server refuses a grant below one it has seen.
+/// Never decreases over the history of a key; backend servers reject a grant with a lower token than one seen before.
 using fencing_token = std::int64_t;
 
-/// Keys with one owner.
+/// Range of keys with the same owner.
 struct owned_range {
     key_range keys;
-    life_name owner; ///< Empty: nobody.
+    life_name owner; ///< Empty: no owner.
     fencing_token fence = 0;
     std::vector<life_name> releasing; ///< Earlier owners that may still hold the keys.
-    std::string handover; ///< From the last holder's release; lets the owner start with the holder's state.
-    /// Milliseconds after which an earlier owner that is silent holds the keys no more; 0 if that was not decided.
+    std::string handover; ///< From the last holder's release; lets the new owner start with the holder's state.
+    /// Milliseconds without contact after which an earlier owner no longer holds the keys; 0: not decided.
     std::int64_t silenceMs = 0;
 
     bool operator==(const owned_range&) const = default;
 };
 
-/// Owners of all keys of a service: ranges in order without gaps. An immutable value; edits return a new one.
+/// Owners of all keys of a service, as ordered ranges without gaps. Immutable: modifications return a new map.
 class range_map {
 public:
-    /// Plans split no range of a map with so many, so that it fits into a row of the store.
-    static constexpr std::size_t mostRanges = 500;
+    /// The planner splits no ranges of a map with this many, so that the map fits into a row of the store.
+    static constexpr std::size_t maxRanges = 500;
 
-    /// Without owners.
+    /// Map without owners.
     range_map();
 
     const std::vector<owned_range>& ranges() const { return m_ranges; }
     const owned_range& find(key_number) const;
     bool hasOwner(const life_name&) const;
-    /// Whether the life owns keys or may still hold some.
+    /// Whether the incarnation owns keys or may still hold some.
     bool names(const life_name&) const;
     /// Whether any key has an owner.
     bool hasOwners() const;
-    /// Number of keys that the life owns.
+    /// Number of keys owned by the incarnation.
     std::uint32_t keyCount(const life_name&) const;
 
-    /// Gives the keys to an owner. Earlier owners have to release them first.
+    /// Assigns the keys to an owner. They can be granted only after the earlier owners have released them.
     range_map assign(key_range, const life_name& owner, fencing_token, std::int64_t silenceMs = 0) const;
-    /// The life holds none of the keys any more.
+    /// Records that the incarnation no longer holds any of the keys.
     range_map release(const life_name&, key_range, const std::string& handover) const;
-    /// The life has ended, so that it holds nothing; its keys go to the successor. An empty one leaves them unowned.
+    /// Assigns the keys of an ended incarnation, which holds nothing, to the successor; if that is empty, they have no
+    /// owner.
     range_map replace(const life_name& ended, const life_name& successor, fencing_token) const;
 
-    /// Neighbouring ranges of one owner that nobody else holds become one, with the higher token.
+    /// Merges adjacent ranges of the same owner that no earlier owner may hold, with the higher token.
     range_map mergeSettled() const;
 
-    /// Moves for which no silence was decided get this one, so that an owner lost in the middle of a move is outwaited.
+    /// Sets the silence of moves for which none was decided, so that the move completes even if the earlier owner fails
+    /// before it has released the keys.
     range_map withSilence(std::int64_t silenceMs) const;
 
-    /// Present and earlier owners of the ranges that differ from those of an earlier map.
+    /// Current and earlier owners of the ranges that differ from an earlier map.
     std::set<life_name> livesOfChanges(const range_map& before) const;
 
     std::string toJson() const;
--- a/src/ranges/tests/range_map_test.cpp
+++ b/src/ranges/tests/range_map_test.cpp
@@ -6,7 +6,7 @@
 namespace heatherdrift {
 namespace {
 
-    // Guards against keys that two entries name or none does, whatever the order of moves and releases.
+    // Guards against keys that are in two ranges or in none, for any order of moves and releases.
     RC_GTEST_PROP(RangeMap, EditsKeepEveryKeyInExactlyOneRange, ())
     {
         range_map map;
@@ -39,7 +39,7 @@
         RC_ASSERT(copy.value() == map);
     }
 
-    // Guards against a token that is used again for another owner of a key.
+    // Guards against a token that is reused for another owner of a key.
     RC_GTEST_PROP(RangeMap, TokensOfAKeyRiseWithEachOwner, ())
     {
         range_map map;
@@ -57,7 +57,7 @@
         }
     }
 
-    // Guards against an owner that is forgotten while it may still hold keys that moved on twice.
+    // Guards against losing an earlier owner that may still hold keys after two moves.
     TEST(RangeMap, EarlierOwnersStayUntilEachHasReleased)
     {
         auto map = range_map().assign({ 0, lastKey }, "a", 1).assign({ 10, 20 }, "b", 2).assign({ 10, 20 }, "c", 3);
@@ -70,8 +70,8 @@
         EXPECT_FALSE(map.find(15).releasing.empty());
     }
 
-    // Guards against keys that stay unserved for ever: their owner was lost in the middle of a planned move, for which
-    // no silence had been decided (mondego-mesh trouble-3).
+    // Guards against keys that are never served again: their owner failed during a planned move for which no silence
+    // had been decided.
     TEST(RangeMap, EveryMoveHasASilenceUntilItIsReleased)
     {
         const auto map = range_map().assign({ 0, lastKey }, "a", 1).assign({ 10, 20 }, "b", 2).withSilence(3000);
@@ -82,24 +82,24 @@
         EXPECT_EQ(map.replace("a", "c", 3).find(15).silenceMs, 0);
     }
 
-    // Guards against a map that outgrows a row of the store (64 KiB), after which no key could move any more
-    // (mondego-mesh-grown: 351 ranges, the store refused every change).
+    // Guards against a map that exceeds the size of a row of the store (64 KiB), so that no key can be moved any more:
+    // with repeated names, the store rejected every change of a map of 351 ranges.
     TEST(RangeMap, FullMapFitsIntoARow)
     {
         constexpr std::size_t rowBytes = 65536 / 4 * 3; // Values are base64 on the wire.
         auto map = range_map().assign({ 0, lastKey }, "earlier", 1);
-        constexpr key_number width = (lastKey + 1) / range_map::mostRanges;
-        for (key_number i = 0; i < range_map::mostRanges; ++i) {
+        constexpr key_number width = (lastKey + 1) / range_map::maxRanges;
+        for (key_number i = 0; i < range_map::maxRanges; ++i) {
             const auto owner = "i-0123456789ab@17673384" + std::to_string(10000 + i % 40);
             map = map.assign({ i * width, (i + 1) * width - 1 }, owner, 100000 + static_cast<fencing_token>(i));
         }
         map = map.release("earlier", { 0, lastKey }, "0123456789abcdef");
-        EXPECT_GE(map.ranges().size(), range_map::mostRanges);
+        EXPECT_GE(map.ranges().size(), range_map::maxRanges);
         EXPECT_LE(map.withSilence(3675).toJson().size(), rowBytes);
     }
 
-    // Guards against a map that is full for ever because no two ranges become one again, and against a token that
-    // sinks.
+    // Guards against a map that stays full because its ranges are never merged, and against a merge that lowers a
+    // token.
     TEST(RangeMap, SettledNeighboursOfOneOwnerAreMerged)
     {
         auto map = range_map().assign({ 0, lastKey }, "a", 1).assign({ 100, 199 }, "b", 2);
@@ -111,7 +111,7 @@
         EXPECT_EQ(map.ranges()[0].owner, "a");
     }
 
-    // Guards against a malformed row of another writer that is taken for a map.
+    // Guards against a malformed row of another writer that is accepted as a map.
     TEST(RangeMap, MalformedTextIsRejected)
     {
         ASSERT_TRUE(range_map::fromJson(R"({"lives":["a"],"ranges":[[0,65535,0,1,[],"",0]]})").has_value());
--- a/src/ranges/tests/range_planner_test.cpp
+++ b/src/ranges/tests/range_planner_test.cpp
@@ -8,7 +8,7 @@
 
     const time_point start { std::chrono::hours(1) };
 
-    std::vector<range_candidate> idle(const std::vector<life_name>& lives)
+    std::vector<range_candidate> idleCandidates(const std::vector<life_name>& lives)
     {
         std::vector<range_candidate> out;
         for (const auto& life : lives)
@@ -16,21 +16,20 @@
         return out;
     }
 
-    // Guards against an uneven start: a first version of the assignment gave six equal servers 25, 25, 4, 4, 3 and 3
-    // parts of 64.
+    // Guards against an uneven first assignment, such as 25, 25, 4, 4, 3 and 3 of 64 parts for six equal servers.
     TEST(RangePlanner, FirstAssignmentIsEven)
     {
-        const auto map = assignUnowned(range_map(), idle({ "a", "b", "c", "d", "e", "f" }), 1);
+        const auto map = assignUnowned(range_map(), idleCandidates({ "a", "b", "c", "d", "e", "f" }), 1);
         for (const auto& life : { "a", "b", "c", "d", "e", "f" })
             EXPECT_NEAR(map.keyCount(life), 65536 / 6.0, 2);
         EXPECT_EQ(map.ranges().size(), 6u);
     }
 
-    // Guards against keys of a lost owner that stay unserved, and against moves of keys that have a live one.
+    // Guards against keys of a failed owner that are not reassigned, and against moves of keys of live owners.
     TEST(RangePlanner, OnlyKeysWithoutALiveOwnerMove)
     {
-        const auto before = assignUnowned(range_map(), idle({ "a", "b", "c" }), 1);
-        const auto after = assignUnowned(before, idle({ "a", "b" }), 2);
+        const auto before = assignUnowned(range_map(), idleCandidates({ "a", "b", "c" }), 1);
+        const auto after = assignUnowned(before, idleCandidates({ "a", "b" }), 2);
         EXPECT_EQ(after.keyCount("c"), 0u);
         for (const auto& range : after.ranges()) {
             if (before.find(range.keys.first).owner == "c")
@@ -40,15 +39,15 @@
         }
     }
 
-    // Guards against a map that is emptied when no server is known.
+    // Guards against a map that loses all owners when there are no candidates.
     TEST(RangePlanner, WithoutCandidatesNothingMoves)
     {
-        const auto map = assignUnowned(range_map(), idle({ "a" }), 1);
+        const auto map = assignUnowned(range_map(), idleCandidates({ "a" }), 1);
         EXPECT_EQ(assignUnowned(map, {}, 2), map);
-        EXPECT_EQ(assignFrom(map, "a", idle({ "a" }), 2), map);
+        EXPECT_EQ(assignFrom(map, "a", idleCandidates({ "a" }), 2), map);
     }
 
-    // Guards against a server that gets everything because it reports no load.
+    // Guards against keys without a live owner after an assignment, also if a candidate reports no load.
     RC_GTEST_PROP(RangePlanner, EveryKeyGetsALiveOwner, ())
     {
         std::vector<range_candidate> candidates;
@@ -71,8 +70,8 @@
         return load;
     }
 
-    /// What one overloaded owner gives to others, of whose keys nothing is known.
-    range_map shed(const range_map& map, const range_candidate& self, const key_load& load,
+    /// Plan for one overloaded owner and others without loads by key.
+    range_map rebalance(const range_map& map, const range_candidate& self, const key_load& load,
         const std::vector<range_candidate>& others, fencing_token fence)
     {
         std::vector<owner_demand> owners { { self, &load } };
@@ -81,12 +80,12 @@
         return balanceLoad(map, owners, {}, fence, start);
     }
 
-    // Pattern "hot key": some 200 neighbouring keys suddenly draw most of the requests. Guards against a move of the
-    // whole range, which only moves the overload, and of more keys than are needed.
+    // 200 adjacent keys suddenly get most of the requests. Guards against a move of the whole hot range, which only
+    // moves the overload, and against moves of more keys than needed.
     TEST(RangePlanner, HotRangeIsSplitAmongServersWithRoom)
     {
-        const auto map = assignUnowned(range_map(), idle({ "a", "b", "c" }), 1);
-        const auto after = shed(map, { "a", 3.0 }, hotSpot(1000, 1199, 2), { { "b", 0.2 }, { "c", 0.3 } }, 2);
+        const auto map = assignUnowned(range_map(), idleCandidates({ "a", "b", "c" }), 1);
+        const auto after = rebalance(map, { "a", 3.0 }, hotSpot(1000, 1199, 2), { { "b", 0.2 }, { "c", 0.3 } }, 2);
         EXPECT_GT(after.keyCount("b"), map.keyCount("b"));
         EXPECT_GT(after.keyCount("c"), map.keyCount("c"));
         EXPECT_LT(map.keyCount("a") - after.keyCount("a"), 200u);
@@ -94,18 +93,18 @@
         EXPECT_EQ(after.find(1200).owner, "a");
     }
 
-    // Pattern "many hot owners" (mondego-mesh-grown scale-1: 34 owners changed the map some 100 times a second against
-    // each other and kept 1.8 times the mean load). Guards against an overload that one plan only hands on.
-    TEST(RangePlanner, OnePlanEvensOutManyOwners)
+    // Guards against a plan that only moves the overload to other owners. When each owner planned for itself, 34
+    // overloaded owners made some 100 conflicting changes of the map a second and kept 1.8 times the mean load.
+    TEST(RangePlanner, OnePlanBalancesManyOwners)
     {
         std::vector<life_name> lives;
         for (int i = 0; i < 30; ++i)
             lives.push_back("life" + std::to_string(100 + i));
-        const auto map = assignUnowned(range_map(), idle(lives), 1);
+        const auto map = assignUnowned(range_map(), idleCandidates(lives), 1);
         std::vector<key_load> loads(lives.size(), key_load(std::chrono::milliseconds(1500)));
         std::vector<owner_demand> owners;
         for (std::size_t i = 0; i < lives.size(); ++i) {
-            const double demand = i < shed_terms().mostGivers ? 1.6 : 0.6;
+            const double demand = i < rebalance_settings().maxDonors ? 1.6 : 0.6;
             for (const auto& range : map.ranges()) {
                 for (key_number key = range.keys.first; range.owner == lives[i] && key <= range.keys.last; key += 20)
                     loads[i].add(key, demand, start);
@@ -124,39 +123,40 @@
         }
     }
 
-    // Guards against a plan that moves keys of an owner whose loads by key are not known.
+    // Guards against a plan that moves keys of an owner without loads by key.
     TEST(RangePlanner, OwnersWithoutKeyLoadsOnlyReceive)
     {
-        const auto map = assignUnowned(range_map(), idle({ "a", "b" }), 1);
+        const auto map = assignUnowned(range_map(), idleCandidates({ "a", "b" }), 1);
         const auto load = hotSpot(1000, 1199, 2);
         EXPECT_EQ(balanceLoad(map, { { { "a", 3.0 }, nullptr }, { { "b", 0.1 }, nullptr } }, {}, 2, start), map);
         const auto after = balanceLoad(map, { { { "a", 3.0 }, &load }, { { "b", 0.1 }, nullptr } }, {}, 2, start);
         EXPECT_GT(after.keyCount("b"), map.keyCount("b"));
     }
 
-    // Guards against churn: keys that move back and forth cost more than a small difference in load.
+    // Guards against churn: moving keys back and forth costs more than a small difference in load.
     TEST(RangePlanner, SmallDifferencesMoveNothing)
     {
-        const auto map = assignUnowned(range_map(), idle({ "a", "b" }), 1);
+        const auto map = assignUnowned(range_map(), idleCandidates({ "a", "b" }), 1);
         const auto load = hotSpot(100, 200, 1);
-        EXPECT_EQ(shed(map, { "a", 0.6 }, load, { { "b", 0.0 } }, 2), map);
-        EXPECT_EQ(shed(map, { "a", 1.2 }, load, { { "b", 1.0 } }, 2), map);
-        EXPECT_EQ(shed(map, { "a", 1.2 }, load, {}, 2), map);
+        EXPECT_EQ(rebalance(map, { "a", 0.6 }, load, { { "b", 0.0 } }, 2), map);
+        EXPECT_EQ(rebalance(map, { "a", 1.2 }, load, { { "b", 1.0 } }, 2), map);
+        EXPECT_EQ(rebalance(map, { "a", 1.2 }, load, {}, 2), map);
     }
 
-    // Guards against a single hot key that is handed on and on: it cannot be split.
+    // Guards against a single hot key that is moved again and again: it cannot be split.
     TEST(RangePlanner, SingleHotKeyOfItsOwnRangeStays)
     {
-        auto map
-            = assignUnowned(range_map(), idle({ "a", "b" }), 1).assign({ 50, 50 }, "b", 2).release("a", { 50, 50 }, "");
+        auto map = assignUnowned(range_map(), idleCandidates({ "a", "b" }), 1)
+                       .assign({ 50, 50 }, "b", 2)
+                       .release("a", { 50, 50 }, "");
         key_load load(std::chrono::seconds(1));
         for (int i = 0; i < 100; ++i)
             load.add(50, 1, start);
-        EXPECT_EQ(shed(map, { "b", 2.0 }, load, { { "a", 0.1 } }, 3), map);
+        EXPECT_EQ(rebalance(map, { "b", 2.0 }, load, { { "a", 0.1 } }, 3), map);
     }
 
-    // Guards against loads that never fade, so that yesterday's hot key would move today.
-    TEST(KeyLoad, FadesAndForgets)
+    // Guards against loads that never decay, so that keys would move because of outdated load.
+    TEST(KeyLoad, DecaysAndEvictsKeys)
     {
         auto load = hotSpot(1, 100, 1);
         EXPECT_NEAR(load.total(start), 100, 0.1);
