--- a/src/routes/attempt_age.h
+++ b/src/routes/attempt_age.h
@@ -7,19 +7,19 @@
 
 namespace heatherdrift {
 
-/// Estimates how long callers have been waiting when they come back after a refusal.
+/// Estimates how long the caller of a request has been waiting since its first attempt.
 ///
-/// Pattern "refused callers come back": each attempt carries the time that its caller still has, and callers of a route
-/// have about the same patience, so that an attempt with less than the others is a repetition. Its objective counts
-/// from the first attempt. Without this, repetitions take the slots of callers that can still be served in time, and
-/// under a long overload every answer comes late.
+/// Each attempt carries the remaining time of its caller. Callers of a route have similar timeouts, so an attempt with
+/// less remaining time than others is a retry after a refusal. Its latency objective counts from the first attempt.
+/// Otherwise, retries would take the slots of requests that can still be served in time, and during a long overload all
+/// answers would be late.
 class attempt_age {
 public:
-    /// Time since the first attempt of a caller of the route that will wait for the given time from now on.
-    duration estimate(const std::string& route, duration patience);
+    /// Returns the estimated time since the first attempt of a request to the route with the given remaining time.
+    duration estimate(const std::string& route, duration remaining);
 
 private:
-    std::unordered_map<std::string, duration> m_longest; ///< Patience of first attempts, by route.
+    std::unordered_map<std::string, duration> m_initialTimeouts; ///< Estimated timeouts of first attempts, by route.
 };
 
 } // namespace heatherdrift
--- a/src/routes/internal/attempt_age.cpp
+++ b/src/routes/internal/attempt_age.cpp
@@ -6,24 +6,24 @@
 
 namespace {
 
-    /// By which the longest known patience shrinks with each attempt, so that a single patient caller is forgotten
-    /// after some hundred others.
-    constexpr double shrinking = 0.005;
-    /// Patience of first attempts differs by the time that a connection took and by rounding.
-    constexpr double usualDifference = 0.03;
-    constexpr std::size_t mostRoutes = 4096; ///< Routes come from the configuration; the bound only limits memory.
+    /// Share by which the estimated timeout decays towards that of each attempt, so that a single caller with a long
+    /// timeout has no effect after some hundred other requests.
+    constexpr double decayRate = 0.005;
+    /// Remaining times of first attempts differ by the time for connecting and by rounding.
+    constexpr double tolerance = 0.03;
+    constexpr std::size_t maxRoutes = 4096; ///< Bounds the memory; routes come from the configuration.
 
 } // namespace
 
-duration attempt_age::estimate(const std::string& route, duration patience)
+duration attempt_age::estimate(const std::string& route, duration remaining)
 {
-    if (m_longest.size() > mostRoutes)
-        m_longest.clear();
-    auto& longest = m_longest[route];
-    longest -= std::chrono::duration_cast<duration>((longest - patience) * shrinking);
-    longest = std::max(longest, patience);
-    const auto age = longest - patience;
-    return age > std::chrono::duration_cast<duration>(longest * usualDifference) ? age : duration();
+    if (m_initialTimeouts.size() > maxRoutes)
+        m_initialTimeouts.clear();
+    auto& initialTimeout = m_initialTimeouts[route];
+    initialTimeout -= std::chrono::duration_cast<duration>((initialTimeout - remaining) * decayRate);
+    initialTimeout = std::max(initialTimeout, remaining);
+    const auto age = initialTimeout - remaining;
+    return age > std::chrono::duration_cast<duration>(initialTimeout * tolerance) ? age : duration();
 }
 
 } // namespace heatherdrift
--- a/src/routes/internal/route_table.cpp
+++ b/src/routes/internal/route_table.cpp
@@ -43,7 +43,7 @@
 {
     if (entry.services.size() == 1)
         return entry.services.front().service;
-    // Smooth weighted round robin: a random choice would miss the weights over short runs.
+    // Smooth weighted round robin: a random choice would deviate from the weights over short sequences.
     auto& state = m_splits[entry.name];
     if (state.services != entry.services) {
         state.services = entry.services;
--- a/src/routes/route_configuration.h
+++ b/src/routes/route_configuration.h
@@ -8,7 +8,7 @@
 
 namespace heatherdrift {
 
-/// Part of a route's requests that goes to a service.
+/// Share of a route's requests that goes to a service.
 struct service_share {
     std::string service;
     double weight = 1;
@@ -16,31 +16,31 @@
     bool operator==(const service_share&) const = default;
 };
 
-/// How requests of one host and path prefix are treated.
+/// Handling of the requests for a host and path prefix.
 struct route {
     std::string name;
     std::string host;
     std::string prefix; ///< Begins and ends with '/'.
     bool isIdempotent = false;
     std::vector<service_share> services; ///< At least one.
-    int mostAttempts = 1; ///< Backend servers to which one request may be sent.
-    duration timeout {}; ///< Longest time until the final answer; zero: only the caller's deadline counts.
-    duration latencyObjective {}; ///< Time within which an answer is worth most; zero: unknown.
+    int mostAttempts = 1; ///< Maximum number of backend servers to which a request is sent.
+    duration timeout {}; ///< Longest time until the final answer; zero: limited only by the caller's deadline.
+    duration latencyObjective {}; ///< Time within which requests should be answered; zero: unknown.
     int priority = 0; ///< 0 is the highest.
 
     bool operator==(const route&) const = default;
 };
 
-/// Backend servers that serve the same kind of work.
+/// Service provided by a group of equivalent backend servers.
 struct service_definition {
     std::string name;
-    int maximumConnections = 0; ///< Per backend server, from all callers together; 0: no bound is known.
+    int maximumConnections = 0; ///< Per backend server, from all callers together; 0: unknown.
     bool isPartitioned = false; ///< Each key has one owner among the backend servers.
 
     bool operator==(const service_definition&) const = default;
 };
 
-/// Bounds for what a caller may send.
+/// Limits on requests and connections of callers.
 struct caller_limits {
     std::size_t headerBytes = 16 * 1024;
     std::size_t bodyBytes = 1 << 20;
@@ -49,9 +49,9 @@
     bool operator==(const caller_limits&) const = default;
 };
 
-/// One version of the routes in force.
+/// Versioned configuration of routes and services.
 struct route_configuration {
-    std::uint64_t version = 0; ///< 0: none is known.
+    std::uint64_t version = 0; ///< 0: no configuration yet.
     std::vector<route> routes;
     std::vector<service_definition> services;
     caller_limits limits;
--- a/src/routes/route_table.h
+++ b/src/routes/route_table.h
@@ -9,18 +9,18 @@
 
 namespace heatherdrift {
 
-/// Finds the route of a request and the service that takes it.
+/// Finds the route of a request and selects its service.
 class route_table {
 public:
-    /// Takes a configuration that is newer than the one in force; false if it is not.
+    /// Applies a configuration if it is newer than the current one; otherwise returns false.
     bool apply(route_configuration);
 
     std::uint64_t version() const { return m_configuration.version; }
     const route_configuration& configuration() const { return m_configuration; }
-    /// Route of the host with the longest prefix that begins the path; null if there is none. Valid until apply().
+    /// Route of the host with the longest prefix of the path; null if there is none. Valid until apply().
     const route* find(std::string_view host, std::string_view path) const;
     const service_definition* service(const std::string& name) const;
-    /// Next service of the route, so that each gets its share over any run of requests.
+    /// Selects the service for the next request, so that each gets its share also over short sequences of requests.
     const std::string& pickService(const route&);
 
 private:
--- a/src/routes/tests/attempt_age_test.cpp
+++ b/src/routes/tests/attempt_age_test.cpp
@@ -7,9 +7,9 @@
 
     using std::chrono::milliseconds;
 
-    // Guards against repetitions that count as fresh and take the slots of callers that can still be served in time
-    // (iarc-mesh-grown scale-1: 6,753 lookups answered late, 3,620 in time).
-    TEST(AttemptAge, RepetitionsAreAsOldAsTheirMissingPatience)
+    // Guards against retries that count as new requests and take the slots of those that can still be served in time:
+    // during an overload, 6,753 lookups were then answered late and 3,620 in time.
+    TEST(AttemptAge, AgeOfARetryIsTheDifferenceToTheInitialTimeout)
     {
         attempt_age ages;
         EXPECT_EQ(ages.estimate("r", milliseconds(3000)), duration());
@@ -20,9 +20,9 @@
         EXPECT_EQ(ages.estimate("other", milliseconds(2000)), duration());
     }
 
-    // Guards against a route whose callers all count as late because one caller was very patient, or because the
-    // callers became less patient.
-    TEST(AttemptAge, OnePatientCallerIsForgotten)
+    // Guards against requests that all count as retries because one caller had a long timeout, or because the timeouts
+    // of all callers became shorter.
+    TEST(AttemptAge, EffectOfASingleLongTimeoutDecays)
     {
         attempt_age ages;
         ages.estimate("r", milliseconds(60000));
--- a/src/routes/tests/route_table_test.cpp
+++ b/src/routes/tests/route_table_test.cpp
@@ -24,7 +24,7 @@
         return out;
     }
 
-    // Guards against a request that goes to the service of a shorter prefix or of another host.
+    // Guards against routing a request by a shorter prefix or by a route of another host.
     TEST(RouteTable, LongestPrefixOfTheHostWins)
     {
         route_table table;
@@ -38,7 +38,7 @@
         EXPECT_EQ(table.find("c", "/x/"), nullptr);
     }
 
-    // Guards against a configuration that goes back when an old row is read late.
+    // Guards against reverting to an older configuration when an old row is read late.
     TEST(RouteTable, OlderVersionsAreNotApplied)
     {
         route_table table;
@@ -48,8 +48,8 @@
         EXPECT_EQ(table.find("a", "/")->name, "new");
     }
 
-    // Guards against a split that misses its weights over a short run of requests, and that starts anew with each
-    // version of the configuration.
+    // Guards against a split that deviates from its weights over short sequences of requests, or because it restarts
+    // with each version of the configuration.
     TEST(RouteTable, SplitKeepsItsWeightsAcrossVersions)
     {
         route_table table;
