--- a/src/gate/tests/transfer_queue_test.cpp
+++ b/src/gate/tests/transfer_queue_test.cpp
@@ -13,8 +13,8 @@
     constexpr std::size_t downloadBytes = 100'000; ///< 50 ms at the speed of the link.
     constexpr std::size_t smallBytes = 500;
 
-    // Guards against small answers that wait behind all downloads that are ready at the same time: nested calls then
-    // failed, and with them half of the requests that depended on them.
+    // Guards against small answers that wait behind all downloads that are ready at the same time: nested calls
+    // to document servers failed, and with them half of the booking requests.
     TEST(TransferQueue, SmallAnswersOvertakeWaitingDownloads)
     {
         transfer_queue queue({ linkBytesPerSecond });
--- a/src/ranges/hold_keeper.h
+++ b/src/ranges/hold_keeper.h
@@ -7,11 +7,11 @@
 
 /// Limits on the holds granted to a backend server. A hold permits it to serve keys for a limited time.
 struct hold_terms {
-    duration lease {}; ///< Longest time from the last confirmation of the range map to the end of a hold.
+    duration lease {}; ///< Without promises, a hold ends at most this long after the range map was confirmed.
     duration promise {}; ///< Period for which other owners promise not to take over any keys.
     duration mostExtension {}; ///< Longest extension of a hold beyond the lease by promises.
     duration longestHold {}; ///< Longest hold that backend servers accept.
-    double clockDrift = 0.02; ///< Maximum relative clock drift of a backend server.
+    double clockDrift = 0.02; ///< Maximum share by which a backend server's clock may run slow.
 
     bool operator==(const hold_terms&) const = default;
 };
@@ -102,8 +102,8 @@
     time_point m_promisedUntil = time_point::min();
     time_point m_holdEnd; ///< Latest end of any hold granted to the current incarnation.
     std::vector<granted_range> m_granted; ///< Granted by the last answer.
-    std::vector<granted_range>
-        m_previouslyGranted; ///< Granted by the previous answer; the last report may predate the last one.
+    /// Granted by the answer before the last one; the last report may have been sent before the last answer arrived.
+    std::vector<granted_range> m_previouslyGranted;
     std::vector<held_range> m_reported;
     std::vector<released_range> m_released;
     int m_reportCount = 0;
--- a/src/ranges/internal/key_load.cpp
+++ b/src/ranges/internal/key_load.cpp
@@ -9,8 +9,8 @@
 namespace {
 
     constexpr auto decayInterval = std::chrono::milliseconds(100); ///< Limits the cost: a decay step visits all keys.
-    constexpr double evictionThreshold
-        = 0.02; ///< Fraction of one request; a lower load does not predict future requests.
+    /// Share of the load of one request; a lower load does not predict future requests.
+    constexpr double evictionThreshold = 0.02;
 
 } // namespace
 
--- a/src/ranges/internal/range_planner.cpp
+++ b/src/ranges/internal/range_planner.cpp
@@ -145,16 +145,16 @@
     const bool isNearlyFull = map.ranges().size() > range_map::maxRanges / 2;
     range_map out = isNearlyFull ? map.mergeSettled() : map;
     std::size_t donorCount = 0;
-    for (auto& entry : owners) {
-        if (!entry.keys || donorCount == settings.maxDonors)
+    for (auto& donor : owners) {
+        if (!donor.keys || donorCount == settings.maxDonors)
             continue;
         std::vector<range_candidate*> targets;
         for (auto& other : owners) {
-            if (&other != &entry)
+            if (&other != &donor)
                 targets.push_back(&other.owner);
         }
         const auto before
-            = std::exchange(out, moveExcess(out, entry.owner, *entry.keys, targets, settings, fence, now));
+            = std::exchange(out, moveExcess(out, donor.owner, *donor.keys, targets, settings, fence, now));
         donorCount += out != before;
     }
     return out;
--- a/src/ranges/range_planner.h
+++ b/src/ranges/range_planner.h
@@ -27,7 +27,7 @@
 struct rebalance_settings {
     double minLoad = 0.75; ///< Lowest load of a donor; below it, requests rarely wait for a slot.
     double minLoadGap = 0.3; ///< Between donor and receiver; below it, a move costs more than it gains.
-    int maxMovesPerDonor = 8; ///< Per plan: the loads are only as recent as the last reports.
+    int maxMovesPerDonor = 8; ///< Moved ranges per plan; the loads are only as recent as the last reports.
     /// Donors per plan, the most loaded first. Each donor has to record its release in the map, and too many such
     /// changes would delay those of other owners.
     std::size_t maxDonors = 6;
--- a/src/ranges/tests/range_map_test.cpp
+++ b/src/ranges/tests/range_map_test.cpp
@@ -83,7 +83,7 @@
     }
 
     // Guards against a map that exceeds the size of a row of the store (64 KiB), so that no key can be moved any more:
-    // with repeated names, the store rejected every change of a map of 351 ranges.
+    // the store rejected every change of a map that had 351 ranges.
     TEST(RangeMap, FullMapFitsIntoARow)
     {
         constexpr std::size_t rowBytes = 65536 / 4 * 3; // Values are base64 on the wire.
--- a/src/ranges/tests/range_planner_test.cpp
+++ b/src/ranges/tests/range_planner_test.cpp
@@ -93,8 +93,8 @@
         EXPECT_EQ(after.find(1200).owner, "a");
     }
 
-    // Guards against a plan that only moves the overload to other owners. When each owner planned for itself, 34
-    // overloaded owners made some 100 conflicting changes of the map a second and kept 1.8 times the mean load.
+    // Guards against a plan that only moves the overload to other owners. When each owner planned for itself, 34 owners
+    // made some 100 conflicting changes of the map a second and still had 1.8 times the mean load.
     TEST(RangePlanner, OnePlanBalancesManyOwners)
     {
         std::vector<life_name> lives;
