--- a/src/assignment/capacity_ramp.h
+++ b/src/assignment/capacity_ramp.h
@@ -8,12 +8,13 @@
 namespace heatherdrift {
 
 struct capacity_ramp_options {
-    double firstShare = 0.1; ///< Share of its capacity that a new member may fill at once.
-    duration length = std::chrono::seconds(60); ///< Until it may fill all of it.
+    double initialShare = 0.1; ///< Share of its capacity that a new member may fill immediately.
+    duration rampDuration = std::chrono::seconds(60); ///< Time until it may fill its full capacity.
 };
 
-/// Remembers when this node first saw each member active, by its own clock. Members that are active when the node
-/// starts count as warm.
+/// Slow start of new members: the share of its capacity that a member may fill grows linearly from when this node first
+/// saw it active, by the node's own clock. Members that are already active when the node starts get their full capacity
+/// at once.
 class capacity_ramp {
 public:
     explicit capacity_ramp(capacity_ramp_options options = {})
@@ -21,7 +22,7 @@
     {
     }
 
-    /// Called with the membership rows whenever they change.
+    /// Must be called with the membership rows whenever they change.
     void onMembers(const member_map&, time_point now);
     /// Share of its capacity that a member may fill, from 0 to 1.
     double ramp(const instance_ref&, time_point now) const;
--- a/src/assignment/coordinator.h
+++ b/src/assignment/coordinator.h
@@ -10,30 +10,31 @@
 
 namespace heatherdrift {
 
-/// Member that coordinates a page: the one with the highest rendezvous weight; null if there is none. Nodes that
-/// disagree may both act; the versions in their transactions decide.
+/// Member that coordinates a page: the one with the highest rendezvous weight; null if no member is eligible. Nodes
+/// with different views may both act as coordinator; the version checks of their transactions let only one write
+/// succeed.
 const pool_member* coordinatorOf(const std::string& pool, std::uint32_t page, const std::vector<pool_member>& eligible);
 
-/// Says when a coordinator writes the repair of a page. With the loss of a zone the owners in a page are fenced one
-/// after the other; waiting a little for the rest turns many writes of the page into one. The first assignment of a new
-/// page waits for more members.
+/// Decides when a coordinator writes the repair of a page. After the loss of an availability zone the owners in a page
+/// are fenced one after the other; a short delay batches their repairs into one write of the page. The first assignment
+/// of a new page is delayed until more members have joined.
 class repair_schedule {
 public:
-    /// Called with each new view of a page that has partitions to assign. Returns when to write the repair: now, or a
-    /// deadline while an owner in the page is being fenced or the page does not exist.
+    /// Must be called with each new view of a page that has partitions to assign. Returns when to write the repair:
+    /// now, or at a deadline if an owner in the page is being fenced or the page does not exist yet.
     time_point repairAt(const versioned_page&, const member_map&, time_point now);
-    /// To be called when the page has nothing to assign.
+    /// Must be called when the page has no partitions to assign; clears its deadline.
     void onRepaired(const std::string& pool, std::uint32_t page);
 
 private:
-    struct page_name {
+    struct page_id {
         std::string pool;
         std::uint32_t number = 0;
 
-        auto operator<=>(const page_name&) const = default;
+        auto operator<=>(const page_id&) const = default;
     };
 
-    std::map<page_name, time_point> m_deadlines;
+    std::map<page_id, time_point> m_deadlines;
 };
 
 } // namespace heatherdrift
--- a/src/assignment/internal/balancer.cpp
+++ b/src/assignment/internal/balancer.cpp
@@ -6,11 +6,11 @@
 
 namespace heatherdrift {
 
-// A joining server of a pool of 6 with 64 partitions is filled within its slow start of a minute; with 16,384
-// partitions and 115 servers this is 256 moves per minute, under 1% of the store's write rate.
-std::uint32_t movesPerMinute(std::uint32_t partitions) { return std::max(16u, partitions / 64); }
+// With 64 partitions and 6 servers, a joining server receives its share within its slow start of one minute. With
+// 16,384 partitions and 115 servers the limit is 256 moves per minute, under 1% of the store's write rate.
+std::uint32_t maxMovesPerMinute(std::uint32_t partitions) { return std::max(16u, partitions / 64); }
 
-std::uint32_t movesAtATime(std::uint32_t partitions) { return std::max(2u, partitions / 512); }
+std::uint32_t maxConcurrentMoves(std::uint32_t partitions) { return std::max(2u, partitions / 512); }
 
 load_report makeLoadReport(const instance_ref& from, const std::map<partition_index, double>& loads)
 {
@@ -49,14 +49,14 @@
     }
     const double share = std::max(0.0, rest) / static_cast<double>(std::max<std::size_t>(1, unlisted));
     for (const auto partition : owned) {
-        // The first report after a move covers a part of its time only.
-        const auto recent = m_recent.find(partition);
-        if (recent != m_recent.end() && now < recent->second.pendingUntil)
+        // The new owner's first report after a move covers only part of the reporting interval.
+        const auto recent = m_recentMoves.find(partition);
+        if (recent != m_recentMoves.end() && now < recent->second.pendingUntil)
             continue;
         const auto listed = report.hottest.find(partition);
         setLoad(partition, listed == report.hottest.end() ? share : listed->second);
     }
-    m_measuredUntil[report.from] = now + m_options.reportValid;
+    m_reportsValidUntil[report.from] = now + m_options.reportExpiry;
 }
 
 double balancer::loadOf(partition_index partition) const
@@ -82,59 +82,60 @@
     return now < recent.pendingUntil && entry && entry->number == recent.move.number;
 }
 
-pool_state balancer::readState(const pool_configuration& pool, const partition_map& map,
+pool_state balancer::buildPoolState(const pool_configuration& pool, const partition_map& map,
     const std::vector<pool_member>& eligible, time_point now) const
 {
     pool_state state(eligible, m_options);
-    for (const auto& [instance, validUntil] : m_measuredUntil) {
+    for (const auto& [instance, validUntil] : m_reportsValidUntil) {
         if (auto* server = state.find(instance))
             server->isMeasured = now < validUntil;
     }
     map.forEach(pool.name, [&](const partition_view& view) {
         auto* server = view.owner ? state.find(*view.owner) : nullptr;
         if (server)
-            state.add(*server, { view.index, view.number, loadOf(view.index), m_recent.contains(view.index) });
+            state.add(*server, { view.index, view.number, loadOf(view.index), m_recentMoves.contains(view.index) });
     });
-    for (const auto& [partition, recent] : m_recent) {
+    for (const auto& [partition, recent] : m_recentMoves) {
         if (isPending(recent, pool, map, now))
             state.move(recent.move.from, recent.move.to, partition);
     }
-    state.sumUp();
+    state.computeTotals();
     return state;
 }
 
 bool balancer::mayAct(trigger& trigger, const pool_state& state, bool byLoad, time_point now) const
 {
-    if (!state.isOutOfBalance(byLoad, trigger.isActing ? m_options.settled : m_options.high)) {
+    if (!state.isOutOfBalance(byLoad, trigger.isActing ? m_options.targetLevel : m_options.imbalanceThreshold)) {
         trigger = {};
         return false;
     }
     if (!trigger.actAt)
-        trigger.actAt = now + m_options.sustained;
+        trigger.actAt = now + m_options.sustainPeriod;
     trigger.isActing = now >= *trigger.actAt;
     return trigger.isActing;
 }
 
-std::size_t balancer::budget(const pool_configuration& pool, const partition_map& map, time_point now)
+std::size_t balancer::moveBudget(const pool_configuration& pool, const partition_map& map, time_point now)
 {
     if (now >= m_windowEnd) {
         m_windowEnd = now + std::chrono::minutes(1);
         m_movesInWindow = 0;
     }
-    const auto pending = static_cast<std::uint32_t>(
-        std::ranges::count_if(m_recent, [&](const auto& entry) { return isPending(entry.second, pool, map, now); }));
-    const auto inWindow = movesPerMinute(pool.partitions) - m_movesInWindow;
-    return std::min(inWindow, movesAtATime(pool.partitions) - std::min(pending, movesAtATime(pool.partitions)));
+    const auto pending = static_cast<std::uint32_t>(std::ranges::count_if(
+        m_recentMoves, [&](const auto& entry) { return isPending(entry.second, pool, map, now); }));
+    const auto inWindow = maxMovesPerMinute(pool.partitions) - m_movesInWindow;
+    return std::min(
+        inWindow, maxConcurrentMoves(pool.partitions) - std::min(pending, maxConcurrentMoves(pool.partitions)));
 }
 
 std::vector<proposed_move> balancer::propose(
     const pool_configuration& pool, const partition_map& map, const std::vector<pool_member>& eligible, time_point now)
 {
-    std::erase_if(m_recent, [now](const auto& entry) { return now >= entry.second.frozenUntil; });
-    std::erase_if(m_measuredUntil, [now](const auto& entry) { return now >= entry.second; });
-    auto state = readState(pool, map, eligible, now);
+    std::erase_if(m_recentMoves, [now](const auto& entry) { return now >= entry.second.frozenUntil; });
+    std::erase_if(m_reportsValidUntil, [now](const auto& entry) { return now >= entry.second; });
+    auto state = buildPoolState(pool, map, eligible, now);
     std::vector<proposed_move> moves;
-    auto left = budget(pool, map, now);
+    auto left = moveBudget(pool, map, now);
     for (const bool byLoad : { false, true }) {
         auto& trigger = m_triggers[byLoad];
         if (!mayAct(trigger, state, byLoad, now))
@@ -142,12 +143,13 @@
         for (; left > 0; --left) {
             const auto move = state.findMove(byLoad);
             if (!move) {
-                // Nothing helps now: the imbalance must last again before the next search.
+                // No admissible move exists. Restarting the trigger requires another sustained imbalance before the
+                // next search.
                 trigger = {};
                 break;
             }
             state.move(move->from, move->to, move->partition);
-            m_recent[move->partition] = { *move, now + m_options.pending, now + m_options.frozen };
+            m_recentMoves[move->partition] = { *move, now + m_options.proposalTimeout, now + m_options.moveCooldown };
             ++m_movesInWindow;
             moves.push_back(*move);
         }
--- a/src/assignment/internal/coordinator.cpp
+++ b/src/assignment/internal/coordinator.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-    // A takeover from the start of fencing to the fenced row lasts up to 0.6 s; pages of owners that are fenced already
-    // must not wait for all of it.
-    constexpr duration longestBatching = std::chrono::milliseconds(300);
+    // Fencing an owner, from its start to the fenced row, takes up to 0.6 s. Partitions of owners that are already
+    // fenced must not wait that long.
+    constexpr duration maxBatchingDelay = std::chrono::milliseconds(300);
 
-    // Instances of a new pool start one after the other. Without a wait the first would get every partition, and the
-    // balancer would need minutes to spread them.
-    constexpr duration firstAssignmentWait = std::chrono::seconds(3);
+    // Instances of a new pool start one after the other. Without this delay the first one would be assigned every
+    // partition, and the balancer would need minutes to spread them.
+    constexpr duration firstAssignmentDelay = std::chrono::seconds(3);
 
     bool isBeingFenced(const page_entry& entry, const member_map& members)
     {
@@ -39,9 +39,9 @@
     const bool isNewPage = page.version == 0;
     const bool isWaiting = isNewPage
         || std::ranges::any_of(page.row.entries, [&](const auto& entry) { return isBeingFenced(entry, members); });
-    const page_name name { page.row.pool, page.row.number };
+    const page_id id { page.row.pool, page.row.number };
     const auto [deadline, isNew]
-        = m_deadlines.try_emplace(name, now + (isNewPage ? firstAssignmentWait : longestBatching));
+        = m_deadlines.try_emplace(id, now + (isNewPage ? firstAssignmentDelay : maxBatchingDelay));
     return isWaiting ? std::max(now, deadline->second) : now;
 }
 
--- a/src/assignment/internal/heavy_hitters.cpp
+++ b/src/assignment/internal/heavy_hitters.cpp
@@ -12,11 +12,11 @@
 #include <numbers>
 
 // Space-Saving: Metwally, Agrawal, El Abbadi, "Efficient Computation of Frequent and Top-k Elements in Data Streams"
-// (ICDT 2005). Debian 12 packages no library of it. A key without a counter replaces the smallest one and inherits its
-// count as its error, so counts are never too low and the smallest count bounds the error.
+// (ICDT 2005). Debian 12 packages no library for it. A key without a counter replaces the key with the smallest count
+// and takes over that count as its error, so counts are never too low and the smallest count bounds the error.
 //
 // Decay: forward decay of Cormode, Shkapenyuk, Srivastava, Xu, "Forward Decay" (ICDE 2009). New weights grow
-// exponentially from a landmark instead of old counts shrinking, so that time passing changes no counter.
+// exponentially from a landmark instead of old counts shrinking, so that counters need no update as time passes.
 
 namespace heatherdrift {
 
@@ -24,8 +24,8 @@
 
     namespace index = boost::multi_index;
 
-    // Weights grow to 2^64 before the counters are scaled back, far below the range of a double.
-    constexpr double longestGrowth = 64;
+    // The counters are rescaled when weights have grown by 2^64, far below the maximum of a double.
+    constexpr double maxGrowthExponent = 64;
 
     struct counter {
         std::string key;
@@ -60,14 +60,14 @@
 heavy_hitters::heavy_hitters(heavy_hitters&&) noexcept = default;
 heavy_hitters& heavy_hitters::operator=(heavy_hitters&&) noexcept = default;
 
-double heavy_hitters::growth(time_point now) const
+double heavy_hitters::growthExponent(time_point now) const
 {
     return std::chrono::duration<double>(now - m_landmark).count() / m_halfLife;
 }
 
 void heavy_hitters::rescale(time_point now)
 {
-    const double factor = std::exp2(-growth(now));
+    const double factor = std::exp2(-growthExponent(now));
     auto scaled = std::make_unique<counters>();
     for (const auto& entry : *m_counters)
         scaled->insert({ entry.key, entry.count * factor, entry.error * factor });
@@ -79,29 +79,29 @@
 {
     if (key.empty() || key.size() > maximumHotKeyBytes)
         return;
-    if (growth(now) > longestGrowth)
+    if (growthExponent(now) > maxGrowthExponent)
         rescale(now);
-    const double grown = weight * std::exp2(growth(now));
-    if (const auto known = m_counters->find(key, key_hash(), key_equal()); known != m_counters->end()) {
-        m_counters->modify(known, [grown](counter& entry) { entry.count += grown; });
+    const double scaledWeight = weight * std::exp2(growthExponent(now));
+    if (const auto existing = m_counters->find(key, key_hash(), key_equal()); existing != m_counters->end()) {
+        m_counters->modify(existing, [scaledWeight](counter& entry) { entry.count += scaledWeight; });
         return;
     }
     if (m_counters->size() < m_size) {
-        m_counters->insert({ std::string(key), grown, 0 });
+        m_counters->insert({ std::string(key), scaledWeight, 0 });
         return;
     }
     auto& byCount = m_counters->get<1>();
     byCount.modify(byCount.begin(), [&](counter& entry) {
         entry.key = key;
         entry.error = entry.count;
-        entry.count += grown;
+        entry.count += scaledWeight;
     });
 }
 
 std::vector<heavy_hitter> heavy_hitters::top(std::size_t count, time_point now) const
 {
-    // At a constant load the decayed sum is load * half-life / ln 2.
-    const double factor = std::exp2(-growth(now)) * std::numbers::ln2 / m_halfLife;
+    // With a constant load the decayed sum is load * half-life / ln 2.
+    const double factor = std::exp2(-growthExponent(now)) * std::numbers::ln2 / m_halfLife;
     std::vector<heavy_hitter> hitters;
     const auto& byCount = m_counters->get<1>();
     for (auto entry = byCount.rbegin(); entry != byCount.rend() && hitters.size() < count; ++entry)
--- a/src/assignment/internal/hot_key_policy.cpp
+++ b/src/assignment/internal/hot_key_policy.cpp
@@ -41,13 +41,13 @@
     std::map<std::string, time_point> next;
     auto unused = maximumHotKeys - std::min(maximumHotKeys, hotKeysInUse(pool, map));
     for (const auto& hitter : hitters) {
-        if (hitter.proven() < m_options.hotShare * meanLoad)
+        if (hitter.guaranteedLoad() < m_options.hotShare * meanLoad)
             continue;
         const auto entry = map.find(pool, hitter.key);
         if (!entry || isHotPartition(entry->index) || !entry->isOwnedBy(self))
             continue;
-        const auto known = m_isolateAt.find(hitter.key);
-        const auto deadline = known == m_isolateAt.end() ? now + m_options.hotFor : known->second;
+        const auto existing = m_isolateAt.find(hitter.key);
+        const auto deadline = existing == m_isolateAt.end() ? now + m_options.minHotDuration : existing->second;
         next[hitter.key] = deadline;
         if (now < deadline || unused == 0)
             continue;
@@ -65,8 +65,8 @@
         const auto key = map.hotKeyOf(pool.name, partition);
         if (key.empty() || loadOf(hitters, key) >= m_options.coldShare * meanLoad)
             continue;
-        const auto known = m_returnAt.find(key);
-        const auto deadline = known == m_returnAt.end() ? now + m_options.coldFor : known->second;
+        const auto existing = m_returnAt.find(key);
+        const auto deadline = existing == m_returnAt.end() ? now + m_options.minColdDuration : existing->second;
         next[key] = deadline;
         const auto home = map.find(pool.name, partitionOf(key, pool.partitions));
         if (now < deadline || !home || !home->owner)
--- a/src/assignment/internal/pool_state.h
+++ b/src/assignment/internal/pool_state.h
@@ -23,46 +23,46 @@
     std::vector<owned_partition> partitions;
 };
 
-/// Loads and counts of the members of a pool, and the search for moves that improve them. One of the two is balanced at
-/// a time, and the other must stay in its bounds.
+/// Loads and partition counts of the members of a pool, and the search for moves that improve their balance. Each
+/// search balances either the counts or the loads, and the other must stay within its bounds.
 class pool_state {
 public:
     pool_state(const std::vector<pool_member>&, const balancer_options&);
 
     server_state* find(const instance_ref&);
     void add(server_state&, const owned_partition&);
-    /// Moves a partition from one member to another if both are known.
+    /// Moves a partition from one member to another; ignored unless both are members of the pool.
     void move(const instance_ref& from, const instance_ref& to, partition_index);
-    /// To be called when all partitions are in place.
-    void sumUp();
+    /// Must be called after all partitions have been added, before the functions below.
+    void computeTotals();
 
-    /// Whether an instance differs from its fair part by more than the level.
+    /// Whether any member is above its fair share by the level or below it by the inverse.
     bool isOutOfBalance(bool byLoad, double level) const;
-    /// The next move that improves the balance, if there is one.
+    /// The next move that improves the balance, if any.
     std::optional<proposed_move> findMove(bool byLoad) const;
 
 private:
     double value(const server_state&, bool byLoad) const;
-    double fair(const server_state&, bool byLoad) const;
-    /// Fair part of a member that receives partitions.
-    double target(const server_state&, bool byLoad) const;
-    double relative(const server_state&, bool byLoad) const;
+    double fairShare(const server_state&, bool byLoad) const;
+    /// Share that a member may be filled up to: its fair share, reduced during its slow start.
+    double targetShare(const server_state&, bool byLoad) const;
+    double relativeValue(const server_state&, bool byLoad) const;
     double tolerance(const server_state&, bool byLoad) const;
     bool isOver(const server_state&, bool byLoad, double level) const;
     bool isUnder(const server_state&, bool byLoad, double level) const;
-    std::vector<const server_state*> byRelativeValue(bool byLoad) const;
+    std::vector<const server_state*> sortedByRelativeValue(bool byLoad) const;
 
     std::optional<proposed_move> findMove(
-        bool byLoad, const server_state& donor, const server_state& receiver, bool isRelief) const;
+        bool byLoad, const server_state& donor, const server_state& receiver, bool isRelievingDonor) const;
     bool isAdmissibleByCount(const server_state& donor, const server_state& receiver, const owned_partition&) const;
     bool isAdmissibleByLoad(
-        const server_state& donor, const server_state& receiver, const owned_partition&, bool isRelief) const;
-    bool keepsCount(const server_state& donor, const server_state& receiver, const owned_partition&) const;
-    bool keepsLoad(const server_state& donor, const server_state& receiver, const owned_partition&) const;
-    /// The lower, the better the move: first a class, then an order in the class.
+        const server_state& donor, const server_state& receiver, const owned_partition&, bool isRelievingDonor) const;
+    bool keepsCountInBounds(const server_state& donor, const server_state& receiver, const owned_partition&) const;
+    bool keepsLoadInBounds(const server_state& donor, const server_state& receiver, const owned_partition&) const;
+    /// Rank of a move, lower is better: a class, then the order within the class.
     std::pair<int, double> rankByCount(const server_state& receiver, const owned_partition&) const;
     std::pair<int, double> rankByLoad(
-        const server_state& donor, const server_state& receiver, const owned_partition&, bool isRelief) const;
+        const server_state& donor, const server_state& receiver, const owned_partition&, bool isRelievingDonor) const;
 
     balancer_options m_options;
     std::vector<server_state> m_servers;
--- a/src/assignment/tests/balancer_test.cpp
+++ b/src/assignment/tests/balancer_test.cpp
@@ -103,7 +103,7 @@
             EXPECT_GE(static_cast<double>(test.moves), 0.8 * fair);
             EXPECT_LT(test.counts().ratio(), 1.25);
             for (const auto& [minute, moves] : test.movesByMinute)
-                EXPECT_LE(moves, 2 * movesPerMinute(partitions)) << minute;
+                EXPECT_LE(moves, 2 * maxMovesPerMinute(partitions)) << minute;
         }
     }
 
--- a/src/assignment/tests/hot_key_test.cpp
+++ b/src/assignment/tests/hot_key_test.cpp
@@ -34,7 +34,7 @@
         RC_ASSERT(std::ranges::is_sorted(found, std::greater(), &heavy_hitter::load));
         for (const auto& hitter : found) {
             RC_ASSERT(hitter.load / unit >= exact[hitter.key] - 1e-6);
-            RC_ASSERT(hitter.proven() / unit <= exact[hitter.key] + 1e-6);
+            RC_ASSERT(hitter.guaranteedLoad() / unit <= exact[hitter.key] + 1e-6);
             RC_ASSERT(hitter.error / unit <= bound + 1e-6);
         }
         for (const auto& [key, count] : exact)
