--- a/src/assignment/hot_key_policy.h
+++ b/src/assignment/hot_key_policy.h
@@ -54,8 +54,8 @@
         const std::vector<heavy_hitter>&, double meanLoad, time_point now, std::vector<hot_key_action>&);
 
     hot_key_options m_options;
-    std::map<std::string, time_point> m_isolateAt; ///< By key, for keys that are hot.
-    std::map<std::string, time_point> m_returnAt; ///< By key, for keys of hot partitions that are cold.
+    std::map<std::string, time_point> m_isolateAt; ///< When to isolate each key that is hot.
+    std::map<std::string, time_point> m_returnAt; ///< When to return each isolated key that is cold.
 };
 
 } // namespace heatherdrift
--- a/src/assignment/internal/compact_page.cpp
+++ b/src/assignment/internal/compact_page.cpp
@@ -22,7 +22,7 @@
 
 const page_key* compact_page::findKey(std::uint64_t hash, std::string_view key) const
 {
-    // At most maximumHotKeys elements: a scan of the hashes needs no index.
+    // With at most maximumHotKeys elements, a linear scan of the hashes is fast enough.
     const auto found
         = std::ranges::find_if(keys, [&](const page_key& entry) { return entry.hash == hash && entry.key == key; });
     return found == keys.end() ? nullptr : &*found;
--- a/src/assignment/internal/compact_page.h
+++ b/src/assignment/internal/compact_page.h
@@ -11,17 +11,17 @@
 
 namespace heatherdrift {
 
-/// 16 bytes instead of the 88 of a page_entry: 98,304 partitions take 1.5 MB.
+/// Takes 16 bytes instead of the 88 of a page_entry, so 98,304 partitions take 1.5 MB.
 struct compact_entry {
     epoch number = 0;
     instance_index owner = 0;
     instance_index previousOwner = 0;
 };
 
-/// A hot or isolated key that a page names, with its hash so that most lookups compare integers only.
+/// A hot or isolated key listed in a page, with its hash so that most lookups compare integers only.
 struct page_key {
     std::uint64_t hash = 0;
-    epoch number = 0; ///< Of an isolated key.
+    epoch number = 0; ///< Epoch at which the key was isolated; 0 for a hot key.
     std::string key;
 };
 
@@ -40,7 +40,8 @@
 };
 
 struct pool_pages {
-    std::vector<std::shared_ptr<const compact_page>> ordinary; ///< By number; null where the page is not known.
+    std::vector<std::shared_ptr<const compact_page>>
+        ordinary; ///< By page number; null if the page has not been received.
     std::shared_ptr<const compact_page> hot;
 
     const compact_page* find(std::uint32_t page) const;
--- a/src/assignment/internal/hot_key_edit.cpp
+++ b/src/assignment/internal/hot_key_edit.cpp
@@ -4,20 +4,18 @@
 
 #include <algorithm>
 
-// Why no instant has two owners of a key that changes its partition:
+// Why a key that changes its partition never has two owners at the same time:
 //  - Both pages are written by one transaction, which checks the versions of both and the caller's membership row. Only
-//    the owner of the ordinary partition issues it, and afterwards that same instance owns both partitions, so the
-//    owner of the key is the same before, during and after, also while the outcome is unknown.
-//  - The ordinary page lists the key, so whoever is given the ordinary partition later has, with that very row, the
-//    knowledge that the key does not belong to it, even if its copy of the hot page is old.
-//  - The list gives the epoch of the isolation, so that a copy of the hot page from an earlier isolation of the same
-//  key
-//    is known to be old. Without it, an instance that isolated and returned a key, saw only the ordinary page of its
-//    return and handed that partition over would take itself for the owner when the key is isolated again.
+//    the owner of the ordinary partition issues it, and afterwards the same instance owns both partitions. The owner of
+//    the key is therefore the same before, during and after the transaction, also while its outcome is unknown.
+//  - The ordinary page lists the key, so an instance that is assigned the ordinary partition later sees in the same row
+//    that it does not own the key, even if its copy of the hot page is outdated.
+//  - The list contains the epoch of the isolation, so that a copy of the hot page from an earlier isolation of the same
+//    key is detected as outdated. Otherwise an instance that isolated and returned a key, received only the ordinary
+//    page of its return and handed over that partition would consider itself the owner when the key is isolated again.
 //  - The hot partition moves to another instance only by an edit of its owner that replaces a version of the hot page
-//  in
-//    which it exists, hence after the owner has seen its own write.
-//  - The key's epoch grows with every change, so a node that holds one old and one new page follows the new one.
+//    that contains it, hence after the owner has received its own write.
+//  - The key's epoch increases with every change, so a node that holds one outdated and one new page uses the new one.
 
 namespace heatherdrift {
 
@@ -25,7 +23,7 @@
 
     failure conflict(std::string message) { return notRun(error_code::conflict, std::move(message)); }
 
-    /// The two pages that an isolation or a return changes.
+    /// The two pages changed by isolating or returning a key.
     struct page_pair {
         page_edit edit;
         page_entry* ordinary = nullptr;
@@ -45,7 +43,7 @@
             && ordinary.row.entries.size() == pageSize(pool.partitions, ordinary.row.number)
             && hot.row.entries.size() == hot.row.hotKeys.size();
         if (!fits || key.empty() || key.size() > maximumHotKeyBytes)
-            return notRun(error_code::bad_request, "the pages do not belong to the key, or its length is not allowed");
+            return notRun(error_code::bad_request, "the pages do not match the key, or the key is empty or too long");
         BOOST_OUTCOME_TRY(member, successorRow(members, self.id));
         if (member->row.self != self)
             return conflict("a newer incarnation of " + self.id + " is registered");
@@ -55,13 +53,13 @@
         pair.ordinaryRow().operationId = pair.edit.operationId;
         pair.ordinary = findEntry(pair.ordinaryRow(), index);
         if (!pair.ordinary || pair.ordinary->owner != self)
-            return conflict("the key's ordinary partition belongs to another instance");
+            return conflict("the key's ordinary partition is owned by another instance");
         return pair;
     }
 
-    /// Position of an unused slot; a new one at the end if there is none. Slots keep their epochs, so that a key that
-    /// reuses one does not go back.
-    std::size_t unusedSlot(page_row& hot)
+    /// Position of an unused slot; a slot is appended if there is none. Unused slots keep their epochs, so that the
+    /// epoch of a key that reuses one does not decrease.
+    std::size_t findOrAddUnusedSlot(page_row& hot)
     {
         const auto found = std::ranges::find(hot.hotKeys, std::string());
         if (found != hot.hotKeys.end())
@@ -80,8 +78,8 @@
     auto& isolated = pair.ordinaryRow().isolatedKeys;
     if (std::ranges::count(isolated, key, &isolated_key::key) != 0
         || std::ranges::count(pair.hotRow().hotKeys, key) != 0)
-        return conflict("the key has a hot partition");
-    const auto slot = unusedSlot(pair.hotRow());
+        return conflict("the key already has a hot partition");
+    const auto slot = findOrAddUnusedSlot(pair.hotRow());
     if (slot >= maximumHotKeys)
         return conflict("all hot partitions of the pool are in use");
     pair.hotRow().hotKeys[slot] = key;
@@ -104,7 +102,7 @@
         return conflict("the key has no hot partition");
     auto& entry = pair.hotRow().entries[static_cast<std::size_t>(found - keys.begin())];
     if (entry.owner != self)
-        return conflict("the hot partition belongs to " + toString(entry.owner));
+        return conflict("the hot partition is owned by " + toString(entry.owner));
     changeOwner(*pair.ordinary, self, entry.number + 1);
     changeOwner(entry, {});
     found->clear();
--- a/src/assignment/internal/instance_table.cpp
+++ b/src/assignment/internal/instance_table.cpp
@@ -51,8 +51,8 @@
 {
     if (instance.id.empty())
         return 0;
-    if (const auto known = m_table->indexOf(instance))
-        return known;
+    if (const auto existing = m_table->indexOf(instance))
+        return existing;
     if (!m_copy) {
         m_copy = std::make_shared<instance_table>(*m_table);
         m_table = m_copy;
--- a/src/assignment/internal/instance_table.h
+++ b/src/assignment/internal/instance_table.h
@@ -21,9 +21,9 @@
     instance_index indexOf(const instance_ref&) const;
     instance_index append(const instance_ref&);
 
-    /// References of instances that no page names any more stay until the views are rebuilt with a new table.
-    bool needsCompaction() const { return m_refs.size() > m_compactionSize; }
-    void planCompaction() { m_compactionSize = 2 * m_refs.size() + 1024; }
+    /// References that no page uses any more stay in the table until the views are rebuilt with a new table.
+    bool needsCompaction() const { return m_refs.size() > m_compactionThreshold; }
+    void updateCompactionThreshold() { m_compactionThreshold = 2 * m_refs.size() + 1024; }
     std::size_t memoryBytes() const;
 
 private:
@@ -34,10 +34,10 @@
 
     std::vector<instance_ref> m_refs;
     std::vector<hash_entry> m_byHash;
-    std::size_t m_compactionSize = 1024;
+    std::size_t m_compactionThreshold = 1024;
 };
 
-/// Adds references to a table; the table is copied when the first new reference is met.
+/// Adds references to a table; the table is copied when the first new reference is added.
 class instance_interner {
 public:
     explicit instance_interner(std::shared_ptr<const instance_table> table)
--- a/src/assignment/internal/page_edit.cpp
+++ b/src/assignment/internal/page_edit.cpp
@@ -18,7 +18,7 @@
         return row.number == hotPageNumber && (position >= row.hotKeys.size() || row.hotKeys[position].empty());
     }
 
-    result<page_entry*> usedEntry(page_row& row, partition_index partition)
+    result<page_entry*> findUsedEntry(page_row& row, partition_index partition)
     {
         auto* entry = findEntry(row, partition);
         if (!entry || isUnusedSlot(row, partition))
@@ -40,16 +40,16 @@
         auto& row = edit.pages.front().row;
         std::set<partition_index> seen;
         for (const auto& assignment : assignments) {
-            BOOST_OUTCOME_TRY(entry, usedEntry(row, assignment.partition));
+            BOOST_OUTCOME_TRY(entry, findUsedEntry(row, assignment.partition));
             if (!seen.insert(assignment.partition).second)
-                return notRun(error_code::bad_request, "partition named twice");
+                return notRun(error_code::bad_request, "a partition is assigned twice");
             BOOST_OUTCOME_TRY(mayChange(*entry));
             BOOST_OUTCOME_TRY(member, successorRow(members, assignment.successor));
             changeOwner(*entry, member->row.self);
             edit.memberVersions[assignment.successor] = member->version;
         }
         if (assignments.empty() || edit.memberVersions.size() > maximumSuccessors)
-            return notRun(error_code::bad_request, "no assignment, or too many successors");
+            return notRun(error_code::bad_request, "the edit has no assignments or too many successors");
         return edit;
     }
 
@@ -57,7 +57,7 @@
     {
         return [self](const page_entry& entry) -> result<void> {
             if (entry.owner != self)
-                return conflict("the partition belongs to " + toString(entry.owner));
+                return conflict("the partition is owned by " + toString(entry.owner));
             return outcome::success();
         };
     }
@@ -68,18 +68,18 @@
 {
     const auto found = members.find(id);
     if (found == members.end())
-        return conflict("no membership row of " + id + " is known");
+        return conflict("the membership row of " + id + " is unknown");
     if (!canBeSuccessor(found->second.row))
-        return conflict(id + " may not be given partitions");
+        return conflict(id + " is not eligible to own partitions");
     return &found->second;
 }
 
-void changeOwner(page_entry& entry, const instance_ref& owner, epoch atLeast)
+void changeOwner(page_entry& entry, const instance_ref& owner, epoch minEpoch)
 {
     if (!entry.owner.id.empty())
         entry.previousOwner = entry.owner;
     entry.owner = owner;
-    entry.number = std::max(entry.number + 1, atLeast);
+    entry.number = std::max(entry.number + 1, minEpoch);
 }
 
 page_entry* findEntry(page_row& row, partition_index partition)
@@ -100,8 +100,9 @@
     return transaction;
 }
 
-// While the row still has the replaced version, a delayed transaction can take effect. Once the row has a later version
-// it cannot, and since epochs only grow the entries show whether it did: each epoch of an entry is written once.
+// While the row still has the replaced version, a delayed transaction may still take effect. Once the row has a later
+// version it cannot, and the entries show whether it did: epochs only increase, and each epoch of an entry is written
+// only once.
 edit_outcome outcomeOf(const page_edit& edit, const versioned_page& readBack)
 {
     const auto& written = edit.pages.front();
@@ -145,7 +146,7 @@
 {
     for (const auto& assignment : assignments) {
         if (assignment.successor == self.id)
-            return notRun(error_code::bad_request, "the partition already belongs to " + self.id);
+            return notRun(error_code::bad_request, "the partition is already owned by " + self.id);
     }
     return assign(page, assignments, members, std::move(operationId), isOwnedBy(self));
 }
--- a/src/assignment/internal/partition_map.cpp
+++ b/src/assignment/internal/partition_map.cpp
@@ -61,8 +61,8 @@
     instance_interner interner(m_instances);
     for (const auto& page : pages) {
         auto& pool = next.m_pools[page.row.pool];
-        const auto* known = pool ? pool->find(page.row.number) : nullptr;
-        if (page.row.number > hotPageNumber || (known && known->version >= page.version))
+        const auto* existing = pool ? pool->find(page.row.number) : nullptr;
+        if (page.row.number > hotPageNumber || (existing && existing->version >= page.version))
             continue;
         auto copy = pool ? std::make_shared<pool_pages>(*pool) : std::make_shared<pool_pages>();
         copy->replace(page.row.number, std::make_shared<const compact_page>(page, interner));
@@ -88,15 +88,15 @@
         pages = std::move(copy);
     }
     auto compacted = std::make_shared<instance_table>(*interner.table());
-    compacted->planCompaction();
+    compacted->updateCompactionThreshold();
     m_instances = std::move(compacted);
 }
 
-// The rows of the ordinary and of the hot page arrive independently, so either may be older than the other. Every
-// change of a key's partition or owner raises the key's epoch, so where the rows disagree the higher epoch is the later
-// one: an ordinary page that does not list the key competes with its partition's epoch, one that lists it with the
-// epoch at which the key was isolated. A lower epoch on the hot page is left from an earlier isolation; nothing is
-// known then.
+// The rows of the ordinary and of the hot page arrive independently, so either may be outdated. Every change of a key's
+// partition or owner raises the key's epoch, so if the rows disagree, the one with the higher epoch is the later one.
+// The epoch of the ordinary page is that of the partition if the page does not list the key, and that of the key's
+// isolation if it does. In the latter case a lower epoch on the hot page comes from an earlier isolation, so the owner
+// is unknown.
 std::optional<partition_view> partition_map::find(const pool_configuration& pool, std::string_view key) const
 {
     const auto* pages = findPool(pool.name);
@@ -112,18 +112,18 @@
     std::optional<partition_view> found;
     if (ordinary && !isolated)
         found = viewOf(*ordinary, index, *m_instances);
-    const auto leastEpoch = isolated ? isolated->number : found ? found->number : 0;
+    const auto minHotEpoch = isolated ? isolated->number : found ? found->number : 0;
     const auto hot = findHot(*pages, hash, key);
-    return hot && hot->number >= leastEpoch ? hot : found;
+    return hot && hot->number >= minHotEpoch ? hot : found;
 }
 
 std::optional<partition_view> partition_map::findHot(
     const pool_pages& pages, std::uint64_t hash, std::string_view key) const
 {
-    const auto* known = pages.hot && !key.empty() ? pages.hot->findKey(hash, key) : nullptr;
-    if (!known)
+    const auto* hotKey = pages.hot && !key.empty() ? pages.hot->findKey(hash, key) : nullptr;
+    if (!hotKey)
         return std::nullopt;
-    const auto slot = static_cast<partition_index>(known - pages.hot->keys.data());
+    const auto slot = static_cast<partition_index>(hotKey - pages.hot->keys.data());
     if (slot >= pages.hot->entries.size())
         return std::nullopt;
     return viewOf(*pages.hot, hotPartitionBase + slot, *m_instances);
--- a/src/assignment/internal/placement.cpp
+++ b/src/assignment/internal/placement.cpp
@@ -9,18 +9,19 @@
 
 namespace {
 
-    // Half of a partition's weight is its share of the partitions, half its share of the load: the count stands for
-    // memory and for load to come, and keeps the placement balanced where no load is known.
-    constexpr double countPart = 0.5;
+    // Half of a partition's weight is its share of the count, half its share of the load. The count represents memory
+    // and future load, and keeps the placement balanced while loads are unknown.
+    constexpr double countWeight = 0.5;
 
-    // A member's partitions of one pool spread over about this many pages. More pages spread a lost member's partitions
-    // over more successors, fewer need fewer writes: 8 pages x 4 successors take 8 writes and add 3% to each successor.
+    // Approximate number of pages that hold a member's partitions of one pool. More pages distribute a lost member's
+    // partitions over more successors, fewer pages need fewer writes: 8 pages with 4 successors each take 8 writes and
+    // add 3% to each successor.
     constexpr std::size_t pagesPerMember = 8;
 
     struct candidate {
         const pool_member* member = nullptr;
-        double share = 0; ///< Part of the pool's weight that it should own.
-        double assigned = 0; ///< Part of the pool's weight that it owns.
+        double share = 0; ///< Fraction of the pool's weight that it should own.
+        double assigned = 0; ///< Fraction of the pool's weight that it owns.
         std::uint64_t tieBreak = 0;
 
         double deficit() const { return share - assigned; }
@@ -55,7 +56,8 @@
         double m_totalLoad = 0;
         std::vector<candidate> m_candidates;
         std::map<std::uint32_t, std::vector<orphan>> m_orphans;
-        std::map<partition_index, instance_id> m_returning; ///< Partitions that go to a new incarnation of their owner.
+        std::map<partition_index, instance_id>
+            m_reassigned; ///< Partitions assigned to a new incarnation of their owner.
         std::vector<placement_step> m_steps;
     };
 
@@ -79,7 +81,7 @@
         const double count = 1.0 / m_pool.partitions;
         if (m_totalLoad <= 0)
             return count;
-        return countPart * count + (1 - countPart) * m_load(index) / m_totalLoad;
+        return countWeight * count + (1 - countWeight) * m_load(index) / m_totalLoad;
     }
 
     candidate* planner::findCandidate(const instance_id& id)
@@ -101,7 +103,7 @@
         m_orphans[pageOf(view.index)].push_back({ view.index, weight });
         if (!owner)
             return;
-        m_returning[view.index] = view.owner->id;
+        m_reassigned[view.index] = view.owner->id;
         owner->assigned += weight;
     }
 
@@ -140,7 +142,8 @@
             entry.tieBreak = rendezvousWeight(subject, entry.member->self.id);
             chosen.push_back(&entry);
         }
-        // Deficits that differ by less than one partition count as equal, so that pages differ in their successors.
+        // Deficits are compared in whole partitions; equal ones are ordered by the page's rendezvous weights, so that
+        // different pages choose different successors.
         const auto rank = [this](const candidate* entry) { return std::floor(entry->deficit() * m_pool.partitions); };
         std::ranges::partial_sort(
             chosen, chosen.begin() + static_cast<std::ptrdiff_t>(count), [&](const auto* one, const auto* other) {
@@ -154,19 +157,20 @@
     {
         std::map<instance_id, std::vector<partition_index>> chosen;
         std::erase_if(orphans, [&](const orphan& entry) {
-            const auto returning = m_returning.find(entry.index);
-            if (returning == m_returning.end())
+            const auto reassigned = m_reassigned.find(entry.index);
+            if (reassigned == m_reassigned.end())
                 return false;
-            chosen[returning->second].push_back(entry.index);
+            chosen[reassigned->second].push_back(entry.index);
             return true;
         });
-        // The heaviest first, each to the emptiest successor: the usual bound of 4/3 of the best for this heuristic.
+        // Greedy, heaviest partition first, each to the successor with the largest deficit. For this LPT heuristic the
+        // maximum is at most 4/3 of the optimum.
         std::ranges::stable_sort(orphans, std::greater(), &orphan::weight);
         const auto successors = chooseSuccessors(page, orphans.size());
         for (const auto& entry : orphans) {
-            auto* emptiest = *std::ranges::max_element(successors, {}, [](const auto* one) { return one->deficit(); });
-            emptiest->assigned += entry.weight;
-            chosen[emptiest->member->self.id].push_back(entry.index);
+            auto* successor = *std::ranges::max_element(successors, {}, [](const auto* one) { return one->deficit(); });
+            successor->assigned += entry.weight;
+            chosen[successor->member->self.id].push_back(entry.index);
         }
         addSteps(page, chosen);
     }
--- a/src/assignment/planned_move.h
+++ b/src/assignment/planned_move.h
@@ -9,7 +9,7 @@
 
 namespace heatherdrift {
 
-/// Actions of planned_move for its driver.
+/// Actions that planned_move requests from its driver.
 struct commit_edit {
     page_edit edit;
 };
@@ -18,40 +18,41 @@
     std::string pool;
     std::uint32_t page = 0;
 };
-/// The move is over. The driver puts the newest row of the page into its view first, then admits requests again for
-/// those partitions that the view gives to this instance.
+/// The move has ended. The driver first updates its view with the newest row of the page, then admits requests again
+/// for the partitions that this instance owns according to the view.
 struct end_move {
     bool isApplied = false;
 };
 using move_action = std::variant<commit_edit, read_page, end_move>;
 
-/// Hand-over of partitions in one page by their owner. From its construction until end_move the owner admits no
+/// Hand-over of partitions in one page by their owner. From construction until end_move the owner must not admit
 /// requests for the partitions; for a hot partition this includes requests for its key that were admitted under the
-/// ordinary partition. Only read-back ends a move whose answer was lost, however long that takes.
+/// ordinary partition. If the response to the commit was lost, the move ends only after the page has been read back,
+/// however long that takes.
 class planned_move {
 public:
-    /// requestsEndBy: deadline of the last request that needs ownership for its whole run.
-    planned_move(std::string pool, instance_ref self, std::vector<entry_assignment>, time_point requestsEndBy);
+    /// requestDeadline: deadline of the last request that needs ownership for as long as it runs.
+    planned_move(std::string pool, instance_ref self, std::vector<entry_assignment>, time_point requestDeadline);
 
     bool isBlocking(std::string_view pool, partition_index) const;
-    /// Whether the page is to be written now: no request needs ownership any more, or the deadline has passed (such
-    /// requests have been cancelled by then).
-    bool isReady(std::size_t requestsLeft, time_point now) const;
+    /// Whether the page can be written now: no request needs ownership any more, or the deadline has passed, by which
+    /// such requests have been cancelled.
+    bool isReady(std::size_t requestsInProgress, time_point now) const;
 
-    /// Called once when ready, with the newest known page.
+    /// Must be called once when ready, with the newest page in the driver's view.
     move_action onReady(const versioned_page&, const member_map&, std::string operationId);
     move_action onCommit(const result<commit_receipt>&);
-    /// The row that the store returned, or the failure of the read.
+    /// Called with the row that the store returned, or with the failure of the read.
     move_action onReadBack(const result<versioned_page>&);
 
 private:
     std::string m_pool;
     instance_ref m_self;
     std::vector<entry_assignment> m_assignments;
-    time_point m_requestsEndBy;
+    time_point m_requestDeadline;
     page_edit m_edit;
-    bool m_isUncertain = false; ///< An answer was lost: a conflict may come from this move's own earlier write.
-    bool m_isRefused = false; ///< The last answer was a conflict.
+    bool m_isUncertain = false; ///< A response was lost: a conflict may be caused by this move's own earlier write.
+    bool m_hasConflict = false; ///< The last response was a conflict.
 };
 
 } // namespace heatherdrift
