--- a/src/assignment/internal/compact_page.h
+++ b/src/assignment/internal/compact_page.h
@@ -40,8 +40,7 @@
 };
 
 struct pool_pages {
-    std::vector<std::shared_ptr<const compact_page>>
-        ordinary; ///< By page number; null if the page has not been received.
+    std::vector<std::shared_ptr<const compact_page>> ordinary; ///< By page number; null if not received.
     std::shared_ptr<const compact_page> hot;
 
     const compact_page* find(std::uint32_t page) const;
--- a/src/assignment/internal/placement.cpp
+++ b/src/assignment/internal/placement.cpp
@@ -56,8 +56,7 @@
         double m_totalLoad = 0;
         std::vector<candidate> m_candidates;
         std::map<std::uint32_t, std::vector<orphan>> m_orphans;
-        std::map<partition_index, instance_id>
-            m_reassigned; ///< Partitions assigned to a new incarnation of their owner.
+        std::map<partition_index, instance_id> m_reassigned; ///< Partitions whose owner has a new incarnation.
         std::vector<placement_step> m_steps;
     };
 
--- a/src/assignment/tests/fake_store.h
+++ b/src/assignment/tests/fake_store.h
@@ -5,16 +5,16 @@
 
 namespace heatherdrift::test {
 
-/// Table store with compare-and-set that checks every write against the rules of assignment.
+/// Table store with compare-and-set that checks every write against the invariants of partition assignment.
 struct fake_store {
     pool_configuration pool;
     std::vector<std::string> keys;
     member_map members;
     partition_map pages;
-    std::string violation; ///< Empty: all rules held.
+    std::string violation; ///< First violated invariant; empty if there is none.
 
     row_version lastVersion = 0;
-    std::vector<page_row> rows; ///< The text of a row is its index here.
+    std::vector<page_row> rows; ///< A row is encoded as its index in this list.
     std::map<std::string, epoch> keyEpochs;
 
     store_transaction encode(const page_edit& edit)
@@ -33,7 +33,7 @@
                 text });
     }
 
-    result<std::vector<versioned_page>> commit(const store_transaction& transaction, const instance_ref& author)
+    result<std::vector<versioned_page>> commit(const store_transaction& transaction, const instance_ref& writer)
     {
         for (const auto& check : transaction.checks) {
             if (members[check.key.key].version != check.version)
@@ -48,13 +48,13 @@
         }
         ++lastVersion;
         for (const auto& page : written)
-            checkRow(page.row, author);
+            checkRow(page.row, writer);
         pages = pages.with(written);
         checkKeys();
         return written;
     }
 
-    void report(const std::string& text) { violation = violation.empty() ? text : violation; }
+    void reportViolation(const std::string& text) { violation = violation.empty() ? text : violation; }
 
     bool isActive(const instance_ref& instance) const
     {
@@ -62,27 +62,27 @@
         return found != members.end() && found->second.row.self == instance && canBeSuccessor(found->second.row);
     }
 
-    void checkRow(const page_row& next, const instance_ref& author)
+    void checkRow(const page_row& next, const instance_ref& writer)
     {
         const auto current = pages.page(next.pool, next.number);
         for (std::size_t i = 0; i < next.entries.size(); ++i) {
             const bool isOld = current && i < current->row.entries.size();
-            checkEntry(isOld ? current->row.entries[i] : page_entry(), next.entries[i], author);
+            checkEntry(isOld ? current->row.entries[i] : page_entry(), next.entries[i], writer);
         }
     }
 
-    void checkEntry(const page_entry& old, const page_entry& next, const instance_ref& author)
+    void checkEntry(const page_entry& old, const page_entry& next, const instance_ref& writer)
     {
         if (old == next)
             return;
         if (next.number <= old.number)
-            report("an epoch did not grow");
+            reportViolation("an epoch did not increase");
         if (!next.owner.id.empty() && !isActive(next.owner))
-            report("given to an instance that must not own it");
-        if (old.owner != author && statusOf(old.owner, members) == owner_status::may_hold_lease)
-            report("taken from an instance that may hold a lease");
+            reportViolation("assigned to an instance that is not eligible");
+        if (old.owner != writer && statusOf(old.owner, members) == owner_status::may_hold_lease)
+            reportViolation("taken from an instance that may hold a lease");
         if (!old.owner.id.empty() && next.previousOwner != old.owner)
-            report("the previous owner was not recorded");
+            reportViolation("the previous owner was not recorded");
     }
 
     void checkKeys()
@@ -90,7 +90,7 @@
         for (const auto& key : keys) {
             const auto entry = pages.find(pool, key);
             if (entry && entry->number < keyEpochs[key])
-                report("the epoch of a key went back");
+                reportViolation("the epoch of a key decreased");
             keyEpochs[key] = entry ? std::max(keyEpochs[key], entry->number) : keyEpochs[key];
         }
     }
--- a/src/assignment/tests/history_test.cpp
+++ b/src/assignment/tests/history_test.cpp
@@ -11,14 +11,14 @@
 namespace heatherdrift::test {
 namespace {
 
-    /// A rule that a history leaves out, to show that its checks notice.
+    /// A rule that a history violates on purpose, to verify that its checks detect the violation.
     enum class broken_rule {
         none,
         member_check, ///< Transactions do not check the successor's membership row.
-        fencing, ///< Coordinators take an owner that is being fenced for a fenced one.
+        fencing, ///< Coordinators treat an owner that is being fenced as already fenced.
         listed_keys, ///< Ordinary pages do not list keys with a hot partition.
-        read_back, ///< A lost answer to a hand-over counts as a refusal.
-        key_epoch, ///< A key that returns does not raise the epoch above both partitions'.
+        read_back, ///< A lost response to a hand-over is treated as a rejection.
+        key_epoch, ///< Returning a key does not raise its epoch above those of both partitions.
     };
 
     struct statistics {
@@ -35,13 +35,13 @@
         std::optional<read_page> readBack;
     };
 
-    struct late_write {
+    struct delayed_write {
         store_transaction transaction;
-        instance_ref author;
+        instance_ref writer;
     };
 
-    /// A random sequence of joins, losses, drains, moves, takeovers and hot keys by processes with old views, with
-    /// lost, late and refused writes.
+    /// A random sequence of joins, losses, drains, moves, takeovers and hot key changes by processes with outdated
+    /// views, with lost, late and rejected writes.
     class history {
     public:
         history(std::uint64_t seed, broken_rule broken, statistics& counts)
@@ -50,7 +50,7 @@
             , m_counts(counts)
             , m_store { makePool(pick(2) == 0 ? 2 : 4), { "alpha", "beta", "gamma", "delta" }, {}, {}, {}, 0, {}, {} }
         {
-            mixActions();
+            chooseActionWeights();
             m_processes.resize(2 + pick(3));
             for (std::size_t i = 0; i < m_processes.size(); ++i) {
                 m_processes[i].self.id = idOf(i);
@@ -59,17 +59,19 @@
             }
         }
 
-        // Each history has its own mix of actions: rare sequences need several of the same kind.
-        void mixActions()
+        // Each history has its own random weights of the actions, since some rare sequences need several actions of the
+        // same kind.
+        void chooseActionWeights()
         {
-            const std::pair<void (history::*)(process&), std::size_t> most[] = { { &history::changeMembership, 1 },
-                { &history::deliverLateWrite, 2 }, { &history::repair, 3 }, { &history::startMove, 8 },
-                { &history::changeHotKey, 8 }, { &history::drive, 4 }, { &history::synchronise, 14 } };
-            for (const auto& [action, weight] : most)
+            const std::pair<void (history::*)(process&), std::size_t> maxWeights[]
+                = { { &history::changeMembership, 1 }, { &history::deliverDelayedWrite, 2 }, { &history::repair, 3 },
+                      { &history::startMove, 8 }, { &history::changeHotKey, 8 }, { &history::continueMove, 4 },
+                      { &history::synchronise, 14 } };
+            for (const auto& [action, weight] : maxWeights)
                 m_actions.insert(m_actions.end(), 1 + pick(weight), action);
         }
 
-        /// The first violation; empty if there is none.
+        /// Returns the first violation; empty if there is none.
         std::string run()
         {
             for (int i = 0; i < 150 && m_store.violation.empty(); ++i) {
@@ -97,7 +99,7 @@
             member.row.state = state;
         }
 
-        // A new process proves that the older one has ended, so the older one's lease is gone.
+        // A process starts only after the previous one of its instance has ended, so the previous lease is lost.
         void restart(process& old)
         {
             auto& member = m_store.members[old.self.id];
@@ -118,7 +120,7 @@
             const auto state = stateOf(process);
             const bool hasEnded = state == member_state::fenced || state == member_state::left;
             const auto what = pick(8);
-            if (what == 0) // A new witness set: the row changes, the owner does not.
+            if (what == 0) // The witness set changes: a new row version with the same incarnation.
                 setState(process, state);
             else if (what == 1)
                 process.isAlive = process.hasLease = false;
@@ -130,7 +132,7 @@
                 end(process, member_state::left);
             else if (what == 5 && state == member_state::joining && process.isAlive)
                 setState(process, member_state::active);
-            else if (what >= 6 && state == member_state::fencing) // The process may go on, without its lease.
+            else if (what >= 6 && state == member_state::fencing) // The process may keep running, without its lease.
                 end(process, member_state::fenced);
             else if (what >= 6 && !hasEnded)
                 setState(process, member_state::fencing);
@@ -138,14 +140,14 @@
 
         void synchronise(process& process)
         {
-            const bool fully = !m_hasFaults;
+            const bool isComplete = !m_hasFaults;
             for (const auto& [id, member] : m_store.members) {
-                if (fully || pick(2) == 0)
+                if (isComplete || pick(2) == 0)
                     process.members[id] = member;
             }
             for (const auto page : { 0u, hotPageNumber }) {
                 const auto row = m_store.pages.page("pool", page);
-                if (row && (fully || pick(2) == 0))
+                if (row && (isComplete || pick(2) == 0))
                     process.map = process.map.with({ { *row } });
             }
         }
@@ -208,33 +210,33 @@
             const auto transaction = m_store.encode(edit);
             const auto fault = m_hasFaults ? pick(12) : 12;
             if (fault == 0)
-                return notRun(error_code::store_unavailable, "refused");
+                return notRun(error_code::store_unavailable, "rejected");
             if (fault == 1)
-                m_late.push_back({ transaction, process.self });
+                m_delayedWrites.push_back({ transaction, process.self });
             if (fault <= 2)
                 return mayHaveRun(error_code::store_unavailable, "late or lost");
-            auto answer = m_store.commit(transaction, process.self);
-            ++(answer ? m_counts.commits : m_counts.conflicts);
+            auto response = m_store.commit(transaction, process.self);
+            ++(response ? m_counts.commits : m_counts.conflicts);
             if (fault == 3)
-                return mayHaveRun(error_code::store_unavailable, "the answer was lost");
-            if (answer) {
-                process.map = process.map.with(answer.value());
-                m_acknowledged.insert(m_acknowledged.end(), answer.value().begin(), answer.value().end());
+                return mayHaveRun(error_code::store_unavailable, "the response was lost");
+            if (response) {
+                process.map = process.map.with(response.value());
+                m_acknowledged.insert(m_acknowledged.end(), response.value().begin(), response.value().end());
             }
-            return answer;
+            return response;
         }
 
         void perform(process& process, const move_action& action)
         {
             process.readBack.reset();
             if (const auto* commit = std::get_if<commit_edit>(&action)) {
-                const auto answer = submit(process, commit->edit);
-                m_counts.handOvers += answer.has_value();
-                if (answer)
+                const auto response = submit(process, commit->edit);
+                m_counts.handOvers += response.has_value();
+                if (response)
                     return perform(process, process.move->onCommit(commit_receipt()));
                 if (m_broken == broken_rule::read_back)
                     return perform(process, end_move());
-                return perform(process, process.move->onCommit(answer.error()));
+                return perform(process, process.move->onCommit(response.error()));
             }
             if (const auto* read = std::get_if<read_page>(&action))
                 process.readBack = *read;
@@ -242,24 +244,24 @@
                 process.move.reset();
         }
 
-        void drive(process& process)
+        void continueMove(process& process)
         {
             if (!process.readBack || !process.isAlive)
                 return;
             const auto row = m_store.pages.page("pool", process.readBack->page);
             if (m_hasFaults && pick(4) == 0)
-                return perform(process, process.move->onReadBack(notRun(error_code::store_unavailable, "no answer")));
+                return perform(process, process.move->onReadBack(notRun(error_code::store_unavailable, "no response")));
             process.map = process.map.with({ { *row } });
             perform(process, process.move->onReadBack(*row));
         }
 
-        void deliverLateWrite(process&)
+        void deliverDelayedWrite(process&)
         {
-            if (m_late.empty())
+            if (m_delayedWrites.empty())
                 return;
-            const auto position = m_late.begin() + static_cast<std::ptrdiff_t>(pick(m_late.size()));
-            (void)m_store.commit(position->transaction, position->author);
-            m_late.erase(position);
+            const auto position = m_delayedWrites.begin() + static_cast<std::ptrdiff_t>(pick(m_delayedWrites.size()));
+            (void)m_store.commit(position->transaction, position->writer);
+            m_delayedWrites.erase(position);
         }
 
         void checkServers()
@@ -271,16 +273,16 @@
                         && !(process.move && process.move->isBlocking("pool", entry->index));
                 };
                 if (std::ranges::count_if(m_processes, serves) > 1)
-                    m_store.report("two instances serve a key");
+                    m_store.reportViolation("two instances serve a key");
             }
         }
 
-        // Faults stop: late writes arrive, lost instances are fenced, and some start again.
+        // Ends all faults: late writes are delivered, lost instances are fenced, and some of them restart.
         void settle()
         {
             m_hasFaults = false;
-            while (!m_late.empty())
-                deliverLateWrite(m_processes.front());
+            while (!m_delayedWrites.empty())
+                deliverDelayedWrite(m_processes.front());
             for (auto& process : m_processes) {
                 if (!process.isAlive || stateOf(process) == member_state::fencing)
                     end(process, member_state::fenced);
@@ -298,7 +300,7 @@
         void settle(process& process)
         {
             synchronise(process);
-            drive(process);
+            continueMove(process);
             if (stateOf(process) == member_state::draining)
                 startMove(process);
             const auto eligible = eligibleOf(process.members);
@@ -313,15 +315,15 @@
                 const bool isServed = view.owner && m_store.isActive(*view.owner);
                 assigned += isServed && !isHotPartition(view.index);
                 if (!isServed)
-                    m_store.report("a partition was not assigned again");
+                    m_store.reportViolation("a partition was not reassigned");
             });
             if (assigned != m_store.pool.partitions)
-                m_store.report("a partition was never assigned");
+                m_store.reportViolation("a partition was never assigned");
             for (const auto& [version, row] : m_acknowledged) {
                 const auto now = m_store.pages.page("pool", row.number)->row.entries;
                 for (std::size_t i = 0; i < row.entries.size(); ++i) {
                     if (now[i].number <= row.entries[i].number && now[i] != row.entries[i])
-                        m_store.report("an acknowledged assignment was lost");
+                        m_store.reportViolation("an acknowledged assignment was lost");
                 }
             }
         }
@@ -332,20 +334,20 @@
         fake_store m_store;
         std::vector<void (history::*)(process&)> m_actions;
         std::vector<process> m_processes;
-        std::vector<late_write> m_late;
+        std::vector<delayed_write> m_delayedWrites;
         std::vector<versioned_page> m_acknowledged;
         bool m_hasFaults = true;
         int m_operations = 0;
     };
 
 #ifdef __SANITIZE_ADDRESS__
-    constexpr std::uint64_t historiesPerCase = 20, brokenHistories = 1000; // They take about 15 times as long.
+    constexpr std::uint64_t historiesPerCase = 20, brokenHistories = 1000; // Each runs about 15 times slower.
 #else
     constexpr std::uint64_t historiesPerCase = 300, brokenHistories = 3000;
 #endif
 
-    // Guards against two owners of a key, epochs that go back, partitions given to instances that must not own them,
-    // lost acknowledged assignments, and partitions that stay without an owner.
+    // Guards against two owners of a key, decreasing epochs, partitions assigned to instances that are not eligible,
+    // lost acknowledged assignments, and partitions that remain without an owner.
     RC_GTEST_PROP(AssignmentHistory, KeepsTheRules, (std::uint64_t seed))
     {
         static int cases = 0;
@@ -376,8 +378,8 @@
 
     class broken_rule_test : public ::testing::TestWithParam<broken_case> { };
 
-    // Guards against properties that cannot fail: without one rule, histories must show the violation that it prevents.
-    TEST_P(broken_rule_test, IsNoticed)
+    // Guards against checks that cannot fail: with a rule disabled, histories must show the violation that it prevents.
+    TEST_P(broken_rule_test, IsDetected)
     {
         constexpr std::uint64_t first = 20261204;
         std::map<std::string, int> violations;
@@ -391,11 +393,11 @@
 
     INSTANTIATE_TEST_SUITE_P(AssignmentHistory, broken_rule_test,
         ::testing::Values(
-            broken_case { "member_check", broken_rule::member_check, "given to an instance that must not own it" },
+            broken_case { "member_check", broken_rule::member_check, "assigned to an instance that is not eligible" },
             broken_case { "fencing", broken_rule::fencing, "taken from an instance that may hold a lease" },
             broken_case { "listed_keys", broken_rule::listed_keys, "two instances serve a key" },
             broken_case { "read_back", broken_rule::read_back, "two instances serve a key" },
-            broken_case { "key_epoch", broken_rule::key_epoch, "the epoch of a key went back" }),
+            broken_case { "key_epoch", broken_rule::key_epoch, "the epoch of a key decreased" }),
         [](const auto& info) { return std::string(info.param.name); });
 
 } // namespace
--- a/src/assignment/tests/page_edit_test.cpp
+++ b/src/assignment/tests/page_edit_test.cpp
@@ -10,9 +10,9 @@
 
     const instance_ref a { "a", 1 };
     const instance_ref b { "b", 1 };
-    const instance_ref nobody;
+    const instance_ref noOwner;
 
-    // Guards against taking partitions from an instance that may still hold its lease.
+    // Guards against reassigning partitions of an instance that may still hold its lease.
     TEST(PageEdit, AssignsOnlyOrphans)
     {
         struct {
@@ -21,11 +21,11 @@
             std::optional<versioned_member> row;
             bool isAllowed;
         } cases[] = {
-            { "no owner", nobody, std::nullopt, true },
+            { "no owner", noOwner, std::nullopt, true },
             { "fenced", a, makeMember("a", 1, member_state::fenced), true },
             { "left", a, makeMember("a", 1, member_state::left), true },
             { "newer incarnation", a, makeMember("a", 2, member_state::joining), true },
-            { "row not known", a, std::nullopt, false },
+            { "row unknown", a, std::nullopt, false },
             { "row older than the owner", a, makeMember("a", 0, member_state::fenced), false },
             { "active", a, makeMember("a"), false },
             { "joining", a, makeMember("a", 1, member_state::joining), false },
@@ -45,29 +45,29 @@
         }
     }
 
-    // Guards against successors that must not own more, and transactions that name too many.
+    // Guards against successors that are not eligible, and against transactions with too many successors.
     TEST(PageEdit, ChecksSuccessors)
     {
         for (const auto state : { member_state::joining, member_state::draining, member_state::fencing,
                  member_state::fenced, member_state::left }) {
             const member_map members { { "b", makeMember("b", 1, state) } };
-            EXPECT_FALSE(assignOrphans(makePage({ nobody }), { { 0, "b" } }, members, "x")) << static_cast<int>(state);
+            EXPECT_FALSE(assignOrphans(makePage({ noOwner }), { { 0, "b" } }, members, "x")) << static_cast<int>(state);
         }
-        const auto isAllowed = [](const std::vector<entry_assignment>& assignments) {
-            return assignOrphans(makePage(std::vector<instance_ref>(9)), assignments, makeMembers(9), "x").has_value();
+        const auto isAllowed = [](const std::vector<entry_assignment>& candidates) {
+            return assignOrphans(makePage(std::vector<instance_ref>(9)), candidates, makeMembers(9), "x").has_value();
         };
-        std::vector<entry_assignment> most;
+        std::vector<entry_assignment> assignments;
         for (partition_index i = 0; i < maximumSuccessors; ++i)
-            most.push_back({ i, idOf(i) });
-        EXPECT_TRUE(isAllowed(most));
-        most.push_back({ 7, idOf(7) });
-        EXPECT_FALSE(isAllowed(most));
+            assignments.push_back({ i, idOf(i) });
+        EXPECT_TRUE(isAllowed(assignments));
+        assignments.push_back({ 7, idOf(7) });
+        EXPECT_FALSE(isAllowed(assignments));
         EXPECT_FALSE(isAllowed({ { 0, idOf(1) }, { 0, idOf(2) } }));
         EXPECT_FALSE(isAllowed({ { 300, idOf(1) } }));
         EXPECT_FALSE(isAllowed({}));
     }
 
-    // Guards against a transaction without the checks that keep lost instances from being given partitions.
+    // Guards against a transaction without the version checks that prevent assigning partitions to lost instances.
     TEST(PageEdit, TransactionChecksPageAndSuccessor)
     {
         const member_map members { { "b", makeMember("b", 1, member_state::active, 7) } };
@@ -85,7 +85,7 @@
         EXPECT_EQ(toTransaction(edit.value(), codec), expected);
     }
 
-    // Guards against an instance that hands over what belongs to another.
+    // Guards against an instance that hands over partitions of another instance or incarnation, or to itself.
     TEST(PageEdit, OnlyOwnerHandsOver)
     {
         const member_map members { { "a", makeMember("a") }, { "b", makeMember("b") } };
@@ -105,7 +105,7 @@
             return change(pool, ordinary, hot, self, key, members, "x");
         }
         result<page_edit> isolate(const std::string& key) const { return edit(isolateKey, key, a); }
-        result<page_edit> giveBack(const std::string& key) const { return edit(returnKey, key, a); }
+        result<page_edit> returnToOrdinary(const std::string& key) const { return edit(returnKey, key, a); }
         void apply(const result<page_edit>& edit)
         {
             ASSERT_TRUE(edit);
@@ -114,7 +114,7 @@
         }
     };
 
-    // Guards against hot partitions whose epochs or owners allow an older owner to act.
+    // Guards against epochs or owners of hot partitions that allow a previous owner to serve the key.
     TEST(HotKeyEdit, IsolatesAndReturns)
     {
         hot_pages pages;
@@ -124,19 +124,19 @@
         EXPECT_EQ(pages.ordinary.row.isolatedKeys, (std::vector<isolated_key> { { "k", 6 } }));
         EXPECT_EQ(pages.ordinary.row.entries[0].number, 5u);
         EXPECT_FALSE(pages.isolate("k"));
-        pages.hot.row.entries[0].number = 9; // Moved and back.
-        pages.apply(pages.giveBack("k"));
+        pages.hot.row.entries[0].number = 9; // As after moves to another instance and back.
+        pages.apply(pages.returnToOrdinary("k"));
         EXPECT_EQ(pages.ordinary.row.entries[0], (page_entry { a, 10, a }));
         EXPECT_TRUE(pages.ordinary.row.isolatedKeys.empty());
-        EXPECT_FALSE(pages.giveBack("k"));
+        EXPECT_FALSE(pages.returnToOrdinary("k"));
         pages.apply(pages.isolate("other"));
-        EXPECT_EQ(pages.hot.row.hotKeys, std::vector<std::string> { "other" }) << "the slot is used again";
+        EXPECT_EQ(pages.hot.row.hotKeys, std::vector<std::string> { "other" }) << "the slot is reused";
         EXPECT_EQ(pages.hot.row.entries[0].number, 11u);
     }
 
-    // Guards against isolation by others than the owner, return while the hot partition is elsewhere, and rows that
-    // grow without bound.
-    TEST(HotKeyEdit, RefusesWhatIsNotSafe)
+    // Guards against isolation by an instance other than the owner, return while another instance owns the hot
+    // partition, and rows of unbounded size.
+    TEST(HotKeyEdit, RejectsInvalidEdits)
     {
         hot_pages pages;
         EXPECT_FALSE(pages.edit(isolateKey, "k", b));
@@ -151,15 +151,15 @@
             pages.apply(pages.isolate("k" + std::to_string(i)));
         EXPECT_FALSE(pages.isolate("k"));
         pages.hot.row.entries[0].owner = b;
-        EXPECT_FALSE(pages.giveBack("k0"));
-        EXPECT_TRUE(pages.giveBack("k1"));
+        EXPECT_FALSE(pages.returnToOrdinary("k0"));
+        EXPECT_TRUE(pages.returnToOrdinary("k1"));
         // An unused slot must never be assigned.
-        pages.apply(pages.giveBack("k1"));
+        pages.apply(pages.returnToOrdinary("k1"));
         EXPECT_FALSE(assignOrphans(pages.hot, { { hotPartitionBase + 1, "b" } }, pages.members, "x"));
     }
 
-    // Guards against a wrong conclusion about a write whose answer was lost.
-    TEST(PageEdit, ReadBackDecides)
+    // Guards against a wrong outcome of a write whose response was lost.
+    TEST(PageEdit, ReadBackDeterminesOutcome)
     {
         const member_map members { { "b", makeMember("b") } };
         const auto edit = handOver(makePage({ a, a }), a, { { 0, "b" } }, members, "mine").value();
@@ -191,7 +191,7 @@
         planned_move move { "pool", a, { { 0, "b" } }, time_point(std::chrono::seconds(5)) };
         versioned_page page = makePage({ a });
         move_action first = move.onReady(page, members, "mine");
-        failure lost = mayHaveRun(error_code::store_unavailable, "lost");
+        failure lostResponse = mayHaveRun(error_code::store_unavailable, "lost");
     };
 
     // Guards against admitting requests for a partition whose hand-over may have taken effect.
@@ -202,8 +202,8 @@
         EXPECT_FALSE(test.move.isReady(1, time_point(std::chrono::seconds(4))));
         EXPECT_TRUE(test.move.isReady(1, time_point(std::chrono::seconds(5))));
         ASSERT_TRUE(std::holds_alternative<commit_edit>(test.first));
-        EXPECT_TRUE(std::holds_alternative<read_page>(test.move.onCommit(test.lost)));
-        EXPECT_TRUE(std::holds_alternative<read_page>(test.move.onReadBack(test.lost)));
+        EXPECT_TRUE(std::holds_alternative<read_page>(test.move.onCommit(test.lostResponse)));
+        EXPECT_TRUE(std::holds_alternative<read_page>(test.move.onReadBack(test.lostResponse)));
         EXPECT_TRUE(std::holds_alternative<commit_edit>(test.move.onReadBack(test.page)));
         const auto conflict = notRun(error_code::conflict, "page");
         EXPECT_TRUE(std::holds_alternative<read_page>(test.move.onCommit(conflict)));
@@ -212,12 +212,12 @@
         EXPECT_TRUE(std::get<end_move>(test.move.onReadBack(written)).isApplied);
     }
 
-    // Guards against a move that never ends because its successor's membership row has changed since (found by history
-    // 1678 of AssignmentHistory).
+    // Guards against a move that never ends because its successor's membership row has changed after a lost response
+    // (once found by AssignmentHistory).
     TEST(PlannedMove, EndsWhenSuccessorChanged)
     {
         move_fixture test;
-        (void)test.move.onCommit(test.lost);
+        (void)test.move.onCommit(test.lostResponse);
         ASSERT_TRUE(std::holds_alternative<commit_edit>(test.move.onReadBack(test.page)));
         (void)test.move.onCommit(notRun(error_code::conflict, "members b"));
         EXPECT_FALSE(std::get<end_move>(test.move.onReadBack(test.page)).isApplied);
--- a/src/assignment/tests/partition_map_test.cpp
+++ b/src/assignment/tests/partition_map_test.cpp
@@ -11,7 +11,7 @@
     const instance_ref a { "a", 1 };
     const instance_ref b { "b", 1 };
 
-    // Guards against keys that change their partition between releases, or fall outside of the pool.
+    // Guards against keys whose partition changes between releases or is outside of the pool.
     TEST(PartitionMap, PartitionOfKeyIsStable)
     {
         EXPECT_EQ(partitionOf("", 64), 0x2d06800538d394c2u & 63u); // XXH3 of no bytes.
@@ -19,7 +19,7 @@
             EXPECT_LT(partitionOf(std::to_string(i), 16), 16u);
     }
 
-    // Guards against a late row that replaces a newer one, and against changes of a view that others read.
+    // Guards against a late row that replaces a newer one, and against changes of a view that is shared with readers.
     TEST(PartitionMap, ReplacesOnlyOlderPages)
     {
         const auto pool = makePool(2);
@@ -36,8 +36,8 @@
         EXPECT_TRUE(second.ownedBy("pool", a).empty());
     }
 
-    // Guards against a key that is served by the owner of a partition that does not hold it, when one page is old. The
-    // earlier isolation was found by history 13184492987 of AssignmentHistory.
+    // Guards against a wrong owner of a key when the ordinary or the hot page is outdated, including a hot page from an
+    // earlier isolation of the same key (once found by AssignmentHistory).
     TEST(PartitionMap, FindsHotKeyWithOldPages)
     {
         const auto pool = makePool(1);
@@ -45,16 +45,16 @@
             const char* name;
             epoch ordinary;
             std::vector<isolated_key> isolated;
-            bool isHot; ///< With epoch 3, owned by b.
+            bool isHot; ///< Whether the hot page lists the key, with epoch 3 and owner b.
             std::optional<instance_ref> owner;
         } cases[] = {
             { "not hot", 1, {}, false, a },
-            { "hot, both pages new", 1, { { "key", 2 } }, true, b },
+            { "hot, both pages current", 1, { { "key", 2 } }, true, b },
             { "hot, ordinary partition moved since", 9, { { "key", 2 } }, true, b },
-            { "hot page old", 5, { { "key", 2 } }, false, std::nullopt },
+            { "hot page outdated", 5, { { "key", 2 } }, false, std::nullopt },
             { "hot page of an earlier isolation", 1, { { "key", 4 } }, true, std::nullopt },
-            { "ordinary page old", 1, {}, true, b },
-            { "returned, hot page old", 4, {}, true, a },
+            { "ordinary page outdated", 1, {}, true, b },
+            { "returned, hot page outdated", 4, {}, true, a },
             { "another key is hot", 1, { { "other", 2 } }, false, a },
         };
         for (const auto& test : cases) {
@@ -79,7 +79,8 @@
         EXPECT_FALSE(map.find(makePool(4), "key"));
     }
 
-    // Guards against a view too large for the node's 32 MB, at full size and after years of restarts.
+    // Guards against a view too large for the node's 32 MB, with the maximum number of partitions and after many
+    // restarts of the instances.
     TEST(PartitionMap, FitsIntoMemory)
     {
         constexpr std::size_t pools = 6, pages = 64, perPool = 115;
--- a/src/assignment/tests/placement_test.cpp
+++ b/src/assignment/tests/placement_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
     constexpr std::uint32_t fullPartitions = 16384;
-    constexpr std::size_t fullMembers = 115; // Of each of the 6 pools of 690 instances.
+    constexpr std::size_t fullMembers = 115; // Members of each of 6 pools with 690 instances in total.
 
     struct full_pool {
         pool_configuration pool = makePool(fullPartitions);
@@ -38,8 +38,8 @@
         return pages.size();
     }
 
-    // Guards against a takeover that needs more writes than the store takes within the 3 s, and against an imbalance
-    // that the balancer would have to correct (1.1).
+    // Guards against a takeover that needs more writes than the store accepts within the 3 s limit, and against an
+    // imbalance above 1.1, which the balancer would have to correct.
     TEST(Placement, WritesAtFullSize)
     {
         full_pool test;
@@ -65,14 +65,14 @@
             rowsByInstance += pagesOf(test.map, { idOf(i), 1 });
         }
         steps = test.repair();
-        std::cout << "zone lost (29 of 115): " << steps.size() << " writes by page, " << rowsByInstance
+        std::cout << "availability zone lost (29 of 115): " << steps.size() << " writes by page, " << rowsByInstance
                   << " by instance, max/mean " << test.ratio() << "\n";
         EXPECT_LE(steps.size(), 70u);
         EXPECT_LT(test.ratio(), 1.1);
     }
 
-    // Guards against partitions left out or moved without need, unbounded transactions, and plans that differ between
-    // nodes with equal views.
+    // Guards against partitions that are omitted or moved unnecessarily, unbounded transactions, and plans that differ
+    // between nodes with equal views.
     RC_GTEST_PROP(Placement, AssignsExactlyTheOrphans, ())
     {
         const auto partitions = 1u << *rc::gen::inRange(0, 11);
@@ -113,7 +113,7 @@
         RC_ASSERT(planRepair(test.pool, test.map, test.members, eligibleOf(test.members)).empty());
     }
 
-    // Guards against successors chosen without regard to slots, slow start and load.
+    // Guards against choosing successors regardless of slots, slow start and load.
     TEST(Placement, FollowsCapacityAndLoad)
     {
         const auto pool = makePool(64);
@@ -137,7 +137,7 @@
         EXPECT_GT(counts[idOf(1)], counts[idOf(0)]);
     }
 
-    // Guards against a leaving instance that keeps partitions, or takes its own.
+    // Guards against a leaving instance that keeps partitions, or is chosen as a successor of its own partitions.
     TEST(Placement, DrainsEverything)
     {
         full_pool test;
@@ -152,7 +152,7 @@
         EXPECT_TRUE(planDrain(test.pool, test.map, leaving, { { leaving } }).empty());
     }
 
-    // Guards against coordinators that change for pages whose coordinator is still there.
+    // Guards against a change of coordinator for pages whose coordinator is still a member.
     TEST(Coordinator, ChangesOnlyForLostMember)
     {
         auto members = makeMembers(20);
@@ -166,7 +166,8 @@
         EXPECT_EQ(coordinatorOf("pool", 0, {}), nullptr);
     }
 
-    // Guards against a write per lost owner while a zone is fenced, and against waiting when nothing is to come.
+    // Guards against one write per lost owner while the owners in an availability zone are being fenced, and against a
+    // delay when no owner is being fenced.
     TEST(RepairSchedule, WaitsForOwnersBeingFenced)
     {
         member_map members { { "a", makeMember("a", 1, member_state::fenced) }, { "b", makeMember("b") } };
@@ -180,24 +181,24 @@
         EXPECT_GT(deadline, now);
         EXPECT_EQ(schedule.repairAt(page, members, deadline), deadline);
         schedule.onRepaired("pool", 0);
-        EXPECT_GT(schedule.repairAt(absentPage(makePool(2), 0), members, now), deadline) << "more members may come";
+        EXPECT_GT(schedule.repairAt(absentPage(makePool(2), 0), members, now), deadline) << "more members may join";
     }
 
-    // Guards against a full share for a cold server, and against slow start of all when a node starts.
+    // Guards against a full share for a new member, and against slow start of all members when the node starts.
     TEST(SlowStart, GrowsForNewMembersOnly)
     {
         const time_point now(std::chrono::seconds(100));
-        capacity_ramp starts;
+        capacity_ramp ramps;
         auto members = makeMembers(1);
-        starts.onMembers(members, now);
+        ramps.onMembers(members, now);
         members = makeMembers(2);
-        starts.onMembers(members, now);
-        starts.onMembers(members, now + std::chrono::seconds(10));
-        EXPECT_EQ(starts.ramp({ idOf(0), 1 }, now), 1);
-        EXPECT_DOUBLE_EQ(starts.ramp({ idOf(1), 1 }, now), 0.1);
-        EXPECT_DOUBLE_EQ(starts.ramp({ idOf(1), 1 }, now + std::chrono::seconds(30)), 0.55);
-        EXPECT_EQ(starts.ramp({ idOf(1), 1 }, now + std::chrono::seconds(60)), 1);
-        EXPECT_DOUBLE_EQ(starts.ramp({ idOf(1), 2 }, now), 0.1);
+        ramps.onMembers(members, now);
+        ramps.onMembers(members, now + std::chrono::seconds(10));
+        EXPECT_EQ(ramps.ramp({ idOf(0), 1 }, now), 1);
+        EXPECT_DOUBLE_EQ(ramps.ramp({ idOf(1), 1 }, now), 0.1);
+        EXPECT_DOUBLE_EQ(ramps.ramp({ idOf(1), 1 }, now + std::chrono::seconds(30)), 0.55);
+        EXPECT_EQ(ramps.ramp({ idOf(1), 1 }, now + std::chrono::seconds(60)), 1);
+        EXPECT_DOUBLE_EQ(ramps.ramp({ idOf(1), 2 }, now), 0.1);
     }
 
 } // namespace
--- a/src/assignment/tests/pool_fixture.h
+++ b/src/assignment/tests/pool_fixture.h
@@ -24,7 +24,7 @@
     return member;
 }
 
-/// Ids sort by number: i000, i001, ...
+/// Ids that sort by number: i000, i001, ...
 inline instance_id idOf(std::size_t number) { return "i" + std::to_string(1000 + number).substr(1); }
 
 inline member_map makeMembers(std::size_t count)
@@ -53,7 +53,7 @@
     return page;
 }
 
-/// The view after the edit took effect.
+/// Returns the view after the edit has taken effect.
 inline partition_map apply(const partition_map& map, const page_edit& edit)
 {
     auto pages = edit.pages;
@@ -62,7 +62,7 @@
     return map.with(pages);
 }
 
-/// The view after all steps took effect; adds the number of changed entries to `moved`.
+/// Returns the view after all steps have taken effect; adds the number of changed entries to `moved`.
 inline partition_map applySteps(const pool_configuration& pool, partition_map map, const member_map& members,
     const std::vector<placement_step>& steps, std::size_t& moved)
 {
@@ -77,19 +77,19 @@
     return map;
 }
 
-/// Highest value of a member, and the mean.
+/// Maximum and mean of a value over the members.
 struct balance {
-    double most = 0;
+    double max = 0;
     double mean = 0;
 
-    double ratio() const { return most / mean; }
+    double ratio() const { return max / mean; }
 };
 
 inline balance balanceOf(const member_map& members, const std::function<double(const instance_ref&)>& value)
 {
     balance found;
     for (const auto& member : eligibleOf(members)) {
-        found.most = std::max(found.most, value(member.self));
+        found.max = std::max(found.max, value(member.self));
         found.mean += value(member.self) / static_cast<double>(eligibleOf(members).size());
     }
     return found;
