--- a/src/assignment/balancer.h
+++ b/src/assignment/balancer.h
@@ -47,8 +47,7 @@
     double loadTolerance = 0.05; ///< Load differences below this fraction of an instance's capacity are ignored.
     duration sustainPeriod = std::chrono::seconds(30); ///< Imbalance must last this long before moves start.
     duration moveCooldown = std::chrono::minutes(5); ///< Minimum time between two moves of a partition.
-    duration proposalTimeout
-        = std::chrono::seconds(30); ///< A proposal that has not taken effect is dropped after this.
+    duration proposalTimeout = std::chrono::seconds(30); ///< Proposals without effect are dropped after this.
     duration reportExpiry = std::chrono::seconds(30);
 };
 
--- a/src/assignment/hot_key_policy.h
+++ b/src/assignment/hot_key_policy.h
@@ -13,8 +13,8 @@
 struct hot_key_options {
     double hotShare = 0.2; ///< A key with at least this load is hot and gets a hot partition.
     double coldShare = 0.05; ///< A key below this load is cold and loses its hot partition.
-    duration minHotDuration = std::chrono::seconds(5); ///< How long a key must be hot without interruption.
-    duration minColdDuration = std::chrono::minutes(3); ///< How long a key must be cold without interruption.
+    duration minHotDuration = std::chrono::seconds(5); ///< A key must be hot for this long without interruption.
+    duration minColdDuration = std::chrono::minutes(3); ///< A key must be cold for this long without interruption.
 };
 
 struct hot_key_action {
