--- a/src/lease/internal/lease_holder.cpp
+++ b/src/lease/internal/lease_holder.cpp
@@ -14,14 +14,14 @@
     , m_current(std::move(witnesses))
     , m_planner(settings)
     , m_lastCall(now)
-    , m_listeningSince(now)
+    , m_observingSince(now)
 {
-    retainContacts();
+    updateContacts();
 }
 
 renewal_batch lease_holder::poll(time_point now, std::int64_t configurationVersion)
 {
-    noteCall(now);
+    detectPause(now);
     renewal_batch batch { {}, now + m_settings.renewalInterval };
     if (m_end)
         return batch;
@@ -33,11 +33,11 @@
     return batch;
 }
 
-void lease_holder::send(contact& to, renewal_batch& batch, time_point now, std::int64_t configurationVersion)
+void lease_holder::send(witness_contact& to, renewal_batch& batch, time_point now, std::int64_t configurationVersion)
 {
     if (to.lastAnswer == neverValid)
         to.lastAnswer = now;
-    // A grant for an older renewal would be worth nothing.
+    // A grant for an older renewal would have expired already.
     std::erase_if(
         to.outstanding, [&](const sent_renewal& sent) { return sent.at + m_settings.holderGrantTime() <= now; });
     to.outstanding.push_back({ ++m_sequence, now });
@@ -45,11 +45,11 @@
     batch.renewals.push_back({ m_self, to.witness, m_sequence, configurationVersion });
 }
 
-// The time of sending counts, not that of receipt: the witness counted its grant from some moment after the sending,
-// however late the grant arrives. A second copy finds its renewal answered already.
+// The grant starts when the renewal was sent, not when the grant arrives: the witness started its grant at some time
+// after the sending, however late the grant arrives. A duplicate of the grant has no outstanding renewal any more.
 void lease_holder::receive(const lease_grant& grant, time_point now)
 {
-    noteCall(now);
+    detectPause(now);
     auto* from = find(grant.witness);
     if (!from || grant.holder != m_self)
         return;
@@ -65,7 +65,7 @@
 
 void lease_holder::receive(const lease_refusal& refusal, time_point now)
 {
-    noteCall(now);
+    detectPause(now);
     if (refusal.holder != m_self)
         return;
     if (refusal.reason == refusal_reason::fenced)
@@ -77,9 +77,9 @@
     if (refusal.reason != refusal_reason::wrong_witness)
         return;
     for (auto& entry : m_contacts) {
-        // Late refusals of an older incarnation say nothing about a newer one.
+        // A delayed refusal from an older incarnation does not apply to a newer one.
         if (entry.witness.id == refusal.witness.id && entry.witness.number < refusal.witness.number)
-            entry.isGone = true;
+            entry.isReplaced = true;
     }
 }
 
@@ -100,7 +100,7 @@
     return std::min(majorityUntil(m_current), majorityUntil(*m_next));
 }
 
-// With m the majority, the m-th newest grant is the first whose end leaves fewer than m.
+// With a majority of m, the lease ends with the m-th latest grant: after it fewer than m are left.
 time_point lease_holder::majorityUntil(const std::vector<instance_ref>& witnesses) const
 {
     if (witnesses.empty())
@@ -120,40 +120,40 @@
 std::optional<std::vector<instance_ref>> lease_holder::proposeWitnesses(
     const member_row& self, const std::vector<member_row>& members, time_point now)
 {
-    noteCall(now);
-    if (m_end || m_next || !mayChange(self))
+    detectPause(now);
+    if (m_end || m_next || !canChangeWitnesses(self))
         return std::nullopt;
     const auto planned = m_planner.plan(self, members, m_current, health(now), now);
     const bool isNewCandidate = planned.witnesses != m_candidate;
     m_candidate = planned.witnesses;
     if (isNewCandidate)
-        retainContacts();
-    if (planned.need == witness_need::none || !isTried(planned, now))
+        updateContacts();
+    if (planned.urgency == change_urgency::none || !isCandidateReady(planned, now))
         return std::nullopt;
     return m_candidate;
 }
 
-// A set in which every witness has granted does not have to be changed again soon. When the lease is at stake, a
-// majority is enough.
-bool lease_holder::isTried(const witness_plan& planned, time_point now) const
+// All witnesses must grant, so that the new set does not have to be changed again soon. If a majority of the current
+// set does not answer, a majority of the new one is enough.
+bool lease_holder::isCandidateReady(const witness_plan& planned, time_point now) const
 {
     const auto isGranting = [&](const instance_ref& witness) {
         return std::any_of(m_contacts.begin(), m_contacts.end(),
-            [&](const contact& entry) { return entry.witness == witness && entry.grantedUntil > now; });
+            [&](const witness_contact& entry) { return entry.witness == witness && entry.grantedUntil > now; });
     };
     const auto granting
         = static_cast<std::size_t>(std::count_if(planned.witnesses.begin(), planned.witnesses.end(), isGranting));
     const auto size = planned.witnesses.size();
-    return granting >= (planned.need == witness_need::urgent ? majorityOf(size) : size);
+    return granting >= (planned.urgency == change_urgency::urgent ? majorityOf(size) : size);
 }
 
 bool lease_holder::beginWitnessChange(const member_row& current, std::vector<instance_ref> next)
 {
-    if (m_end || m_next || !mayChange(current) || next == current.witnesses)
+    if (m_end || m_next || !canChangeWitnesses(current) || next == current.witnesses)
         return false;
     m_next = std::move(next);
     m_candidate.clear();
-    retainContacts();
+    updateContacts();
     return true;
 }
 
@@ -164,43 +164,46 @@
     if (outcome == change_outcome::applied)
         m_current = std::move(*m_next);
     m_next.reset();
-    retainContacts();
+    updateContacts();
 }
 
-// The conditional write alone does not keep a fencing row's witness set as it is: a holder that has read the marked row
-// knows its version.
-bool lease_holder::mayChange(const member_row& row) const
+// The conditional write alone does not protect the witness set of a fencing row: a holder that has read the row in that
+// state has its current version.
+bool lease_holder::canChangeWitnesses(const member_row& row) const
 {
     const bool isFree = row.state == member_state::joining || row.state == member_state::active
         || row.state == member_state::draining;
     return isFree && row.self == m_self;
 }
 
-lease_holder::contact* lease_holder::find(const instance_ref& witness)
+lease_holder::witness_contact* lease_holder::find(const instance_ref& witness)
 {
     const auto found = std::find_if(
-        m_contacts.begin(), m_contacts.end(), [&](const contact& entry) { return entry.witness == witness; });
+        m_contacts.begin(), m_contacts.end(), [&](const witness_contact& entry) { return entry.witness == witness; });
     return found == m_contacts.end() ? nullptr : &*found;
 }
 
-// After a pause of this process every witness looks silent until its answers have been read.
-void lease_holder::noteCall(time_point now)
+// After a pause of this process, every witness appears silent until its answers have been read.
+void lease_holder::detectPause(time_point now)
 {
     if (now - m_lastCall > m_settings.renewalInterval + m_settings.pauseLimit())
-        m_listeningSince = now;
+        m_observingSince = now;
     m_lastCall = std::max(m_lastCall, now);
 }
 
-// Grants are for the holder's incarnation, whichever set the witness is in, so contacts survive a change.
-void lease_holder::retainContacts()
+// A grant is for the holder's incarnation, whichever set the witness is in, so the state of a witness that is in both
+// sets is kept.
+void lease_holder::updateContacts()
 {
-    std::vector<contact> kept;
+    std::vector<witness_contact> kept;
     const auto keep = [&](const std::vector<instance_ref>& witnesses) {
         for (const auto& witness : witnesses) {
-            if (std::any_of(kept.begin(), kept.end(), [&](const contact& entry) { return entry.witness == witness; }))
+            if (std::any_of(
+                    kept.begin(), kept.end(), [&](const witness_contact& entry) { return entry.witness == witness; }))
                 continue;
-            auto* known = find(witness);
-            kept.push_back(known ? *known : contact { witness, {}, neverValid, neverValid, neverValid, false });
+            auto* existing = find(witness);
+            kept.push_back(
+                existing ? *existing : witness_contact { witness, {}, neverValid, neverValid, neverValid, false });
         }
     };
     keep(m_current);
@@ -214,9 +217,9 @@
 {
     std::vector<witness_health> states;
     for (const auto& entry : m_contacts) {
-        const auto since = std::max(entry.lastAnswer, m_listeningSince);
+        const auto since = std::max(entry.lastAnswer, m_observingSince);
         const bool isAsked = entry.lastAnswer != neverValid;
-        states.push_back({ entry.witness, isAsked && now - since >= m_settings.silenceLimit, entry.isGone });
+        states.push_back({ entry.witness, isAsked && now - since >= m_settings.silenceLimit, entry.isReplaced });
     }
     return states;
 }
--- a/src/lease/internal/lease_settings.cpp
+++ b/src/lease/internal/lease_settings.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-    // Above this share the holder's part of a grant is too short for a second renewal at any sensible TTL.
-    constexpr double largestDriftShare = 0.2;
+    // With a larger share the grant at the holder is too short for a second renewal at any practical ttl.
+    constexpr double maxDriftShare = 0.2;
 
     struct rule {
-        bool holds;
-        const char* broken;
+        bool isMet;
+        const char* message;
     };
 
 } // namespace
@@ -28,19 +28,18 @@
 
 result<void> checkLeaseSettings(const lease_settings& settings)
 {
-    const auto lastRank = static_cast<duration::rep>(maximumWitnesses - 1);
+    const auto lastRank = static_cast<duration::rep>(maxWitnesses - 1);
     const rule rules[] = {
         { settings.ttl > duration(0) && settings.renewalInterval > duration(0) && settings.rankDelay >= duration(0),
             "ttl and renewal interval must be positive and the rank delay not negative" },
-        { settings.driftShare >= 0 && settings.driftShare <= largestDriftShare,
-            "the drift share must be from 0 to 0.2" },
-        // A lost renewal must not end the lease: the next one has to arrive in time.
+        { settings.driftShare >= 0 && settings.driftShare <= maxDriftShare, "the drift share must be from 0 to 0.2" },
+        // The loss of one renewal must not end the lease: the next one must arrive in time.
         { settings.renewalInterval * 2 < settings.holderGrantTime(),
             "two renewal intervals must be shorter than the ttl less the drift share" },
-        // Otherwise one lost renewal looks like a lost holder.
+        // Otherwise the loss of one renewal is taken for the loss of the holder.
         { settings.silenceLimit >= settings.renewalInterval * 2,
             "the silence limit must be at least two renewal intervals" },
-        // Detection then costs nothing on top of the wait for the last grant, whichever witness detects.
+        // Detection then does not prolong the wait for the last grant, whichever witness detects the loss.
         { settings.silenceLimit + settings.rankDelay * lastRank <= settings.witnessGrantTime(),
             "the silence limit with the delay of the last rank must not exceed the ttl plus the drift share" },
         { settings.staleConfigurationLimit > settings.renewalInterval,
@@ -49,15 +48,15 @@
             "the replacement delay must be longer than the silence limit" },
         { settings.rebalanceDelay >= settings.replacementDelay,
             "the rebalance delay must not be shorter than the replacement delay" },
-        { settings.retryFirst > duration(0) && settings.retryFirst <= settings.retryMost,
-            "the first retry pause must be positive and not longer than the longest" },
+        { settings.initialRetryDelay > duration(0) && settings.initialRetryDelay <= settings.maxRetryDelay,
+            "the initial retry delay must be positive and not exceed the maximum retry delay" },
         { settings.blockedAfter > settings.witnessGrantTime(),
             "a takeover must not be reported as blocked before the last grant can have ended" },
         { settings.mutations == lease_mutations {}, "deliberate faults are for tests only" },
     };
     for (const auto& entry : rules) {
-        if (!entry.holds)
-            return notRun(error_code::invalid_settings, std::string("lease: ") + entry.broken);
+        if (!entry.isMet)
+            return notRun(error_code::invalid_settings, std::string("lease: ") + entry.message);
     }
     return outcome::success();
 }
--- a/src/lease/internal/promise_quorum.cpp
+++ b/src/lease/internal/promise_quorum.cpp
@@ -20,7 +20,7 @@
 {
     if (std::find(m_witnesses.begin(), m_witnesses.end(), witness) == m_witnesses.end())
         return;
-    // A witness grants nothing after its promise, so of two answers the earlier end is as true as the later.
+    // A witness does not grant after its promise, so of two answers the earlier end is valid, too.
     const auto [position, isNew] = m_ends.try_emplace(witness, end);
     if (!isNew)
         position->second = std::min(position->second, end);
@@ -34,7 +34,7 @@
     return absent;
 }
 
-// The majority whose grants end first is enough: the others are too few for the holder.
+// The majority whose grants end first is sufficient: the remaining witnesses are no majority for the holder.
 std::optional<time_point> promise_quorum::releaseTime() const
 {
     const auto majority = majorityOf(m_witnesses.size());
@@ -47,7 +47,7 @@
     return ends[majority - 1];
 }
 
-void termination_record::learn(const member_row& row, time_point now)
+void termination_record::update(const member_row& row, time_point now)
 {
     m_addresses.try_emplace(row.self, row.control);
     const auto [position, isNew] = m_newest.try_emplace(row.self.id, seen_row { row, now });
@@ -67,8 +67,8 @@
     if (newest == m_newest.end())
         return std::nullopt;
     const auto address = m_addresses.find(process);
-    const auto known = address == m_addresses.end() ? std::nullopt : std::optional(address->second);
-    if (!provesTermination(newest->second.row, process, known))
+    const auto knownAddress = address == m_addresses.end() ? std::nullopt : std::optional(address->second);
+    if (!provesTermination(newest->second.row, process, knownAddress))
         return std::nullopt;
     return newest->second.since;
 }
--- a/src/lease/internal/takeover.cpp
+++ b/src/lease/internal/takeover.cpp
@@ -26,12 +26,12 @@
     return std::exchange(m_actions, {});
 }
 
-// A late answer to an earlier read does no harm: older versions are ignored, and every write is conditional on the
-// version that it was decided on.
+// A delayed answer to an earlier read is harmless: older versions are ignored, and every write is conditional on the
+// version on which it was decided.
 void takeover::on(const row_read& answer, time_point now)
 {
     if (answer.row)
-        learn(*answer.row, now);
+        updateRow(*answer.row, now);
     if (m_stage != takeover_stage::reading)
         return;
     m_isHolderRead |= answer.id == m_start.holder.id;
@@ -47,7 +47,7 @@
         retryLater(now);
 }
 
-// An answer that proves nothing is never taken for an outcome; the rows are read again.
+// An inconclusive answer is never treated as an outcome; the rows are read again.
 void takeover::on(const commit_done& answer, time_point now)
 {
     const bool isAwaited = m_stage == takeover_stage::marking || m_stage == takeover_stage::confirming;
@@ -66,8 +66,8 @@
 void takeover::onApplied(row_version version, time_point now)
 {
     m_backoff.reset();
-    noteProgress();
-    learn({ version, m_written }, now);
+    clearBlocked();
+    updateRow({ version, m_written }, now);
     if (m_holderRow->version > version)
         return beginReading();
     return m_stage == takeover_stage::marking ? beginCollecting(now) : beginReassigning();
@@ -97,7 +97,7 @@
     checkInquiry(now);
 }
 
-void takeover::on(const member_seen& seen, time_point now) { learn(seen.row, now); }
+void takeover::on(const member_seen& seen, time_point now) { updateRow(seen.row, now); }
 
 void takeover::on(const timer_due&, time_point now)
 {
@@ -122,29 +122,31 @@
 {
     if (!releaseTime() && now >= m_retryAt) {
         requestPromises();
-        // Rows may show what a lost answer or a slow replication does not: that the holder or a witness has restarted.
+        // The rows may show a restart of the holder or a witness that was missed due to a lost answer or slow
+        // replication.
         emit(read_row { m_start.holder.id });
         for (const auto& witness : m_quorum.missing())
             emit(read_row { witness.id });
-        noteStuck(m_quorum.missing(), now);
+        reportIfBlocked(m_quorum.missing(), now);
         retryLater(now);
     }
     checkQuorum(now);
 }
 
-// Once the row is marked, or may be, there is no way back: the takeover is completed by whoever sees the mark.
+// Once the row is fencing, or may be, the takeover cannot be abandoned: any instance that reads this state completes
+// it.
 void takeover::on(const holder_heard&, time_point)
 {
     const bool isUnmarked = m_stage == takeover_stage::reading || m_stage == takeover_stage::inquiring;
-    const bool isKnownMarked = m_holderRow && m_holderRow->row.state == member_state::fencing;
-    if (isUnmarked && !isKnownMarked && !m_start.isResumed && !m_declaredAt)
+    const bool isMarkSeen = m_holderRow && m_holderRow->row.state == member_state::fencing;
+    if (isUnmarked && !isMarkSeen && !m_start.isResumed && !m_declaredLostAt)
         finish(takeover_outcome::abandoned);
 }
 
 void takeover::on(const declared_lost&, time_point now)
 {
-    if (!m_declaredAt)
-        m_declaredAt = now;
+    if (!m_declaredLostAt)
+        m_declaredLostAt = now;
     if (m_stage == takeover_stage::inquiring)
         beginReading();
     else if (m_stage == takeover_stage::collecting)
@@ -165,25 +167,25 @@
     emit(read_row { m_start.self.id });
 }
 
-void takeover::learn(const versioned_member& seen, time_point now)
+void takeover::updateRow(const versioned_member& seen, time_point now)
 {
-    m_terminations.learn(seen.row, now);
-    const bool isOwnNews = seen.row.self.id == m_start.self.id && (!m_ownRow || seen.version > m_ownRow->version);
-    const bool isHolderNews
+    m_terminations.update(seen.row, now);
+    const bool isOwnRowNewer = seen.row.self.id == m_start.self.id && (!m_ownRow || seen.version > m_ownRow->version);
+    const bool isHolderRowNewer
         = seen.row.self.id == m_start.holder.id && (!m_holderRow || seen.version > m_holderRow->version);
-    if (isOwnNews)
+    if (isOwnRowNewer)
         m_ownRow = seen;
-    if (isHolderNews)
+    if (isHolderRowNewer)
         m_holderRow = seen;
     const bool isSame = seen.row.self == m_start.holder;
-    m_isOver |= isHolderNews && isSame && seen.row.state == member_state::fenced;
-    // A decision holds only for the rows it was made on. The row as it was marked is no news.
+    m_hasLeaseEnded |= isHolderRowNewer && isSame && seen.row.state == member_state::fenced;
+    // A decision is valid only for the rows on which it was made. The change to fencing does not affect it.
     const bool isMark = isSame && seen.row.state == member_state::fencing;
-    if (m_stage == takeover_stage::inquiring && (isOwnNews || isHolderNews))
+    if (m_stage == takeover_stage::inquiring && (isOwnRowNewer || isHolderRowNewer))
         return decide(now);
-    if (m_stage == takeover_stage::collecting && isHolderNews && !isMark)
+    if (m_stage == takeover_stage::collecting && isHolderRowNewer && !isMark)
         return decide(now);
-    countTerminated();
+    countTerminatedWitnesses();
     checkInquiry(now);
     checkQuorum(now);
 }
@@ -195,37 +197,37 @@
         return finish(takeover_outcome::abandoned);
     const auto& row = m_holderRow->row;
     if (row.self.number > m_start.holder.number)
-        return decideOnNewer(now);
+        return decideOnNewerIncarnation(now);
     if (m_firstWitnesses.empty())
         m_firstWitnesses = row.witnesses;
     const bool isMarked = row.state == member_state::fencing || row.state == member_state::fenced;
-    const bool isOthers = isMarked && row.fencedBy != m_start.self.id;
-    if (isOthers && !m_start.isResumed && !m_declaredAt)
-        return finish(takeover_outcome::left_to_other);
+    const bool isMarkedByOther = isMarked && row.fencedBy != m_start.self.id;
+    if (isMarkedByOther && !m_start.isResumed && !m_declaredLostAt)
+        return finish(takeover_outcome::handled_by_other);
     if (row.state == member_state::fenced)
         return beginReassigning();
     if (row.state == member_state::fencing)
         return beginCollecting(now);
     const bool isWitness = std::any_of(row.witnesses.begin(), row.witnesses.end(),
         [this](const instance_ref& witness) { return witness.id == m_start.self.id; });
-    // Only the fencing mark needs the own row active: a draining instance still completes what others began.
+    // Only the change to fencing requires an active instance: a draining one still completes takeovers of others.
     if (row.state == member_state::left || m_ownRow->row.state != member_state::active)
         return finish(takeover_outcome::abandoned);
-    if (m_declaredAt)
+    if (m_declaredLostAt)
         return commit(takeover_stage::marking, member_state::fencing);
     if (!isWitness)
         return finish(takeover_outcome::abandoned);
     beginInquiry(now);
 }
 
-// At another address the newer process proves nothing about the older one, unless that was fenced before.
-void takeover::decideOnNewer(time_point now)
+// A newer process at another address does not prove that the older one has terminated, unless that was fenced before.
+void takeover::decideOnNewerIncarnation(time_point now)
 {
-    const bool isDeclared = m_declaredAt && now >= *m_declaredAt + m_settings.witnessGrantTime();
-    if (m_isOver || isDeclared || m_terminations.terminatedSince(m_start.holder))
+    const bool isDeclared = m_declaredLostAt && now >= *m_declaredLostAt + m_settings.witnessGrantTime();
+    if (m_hasLeaseEnded || isDeclared || m_terminations.terminatedSince(m_start.holder))
         return beginReassigning();
     m_stage = takeover_stage::reading;
-    noteStuck({}, now);
+    reportIfBlocked({}, now);
     retryLater(now);
 }
 
@@ -235,15 +237,15 @@
     return row.self == m_start.self && (row.state == member_state::active || row.state == member_state::draining);
 }
 
-// A witness that alone misses the holder has a fault of its own or of one link. Marking the row cannot be undone, so a
-// majority has to miss the holder first. Without this step an instance cut off from all others, but not from the store,
-// would mark every instance that it is a witness of.
+// If the holder is silent for one witness only, the fault is in that witness or in one link. The change to fencing
+// cannot be undone, so the holder must be silent for a majority first. Without this step, an instance that is cut off
+// from all others but not from the store would fence every instance of which it is a witness.
 void takeover::beginInquiry(time_point now)
 {
     m_stage = takeover_stage::inquiring;
     m_silent.clear();
     m_answered.clear();
-    countTerminated();
+    countTerminatedWitnesses();
     for (const auto& witness : witnesses()) {
         if (witness.id == m_start.self.id)
             m_silent.insert(witness);
@@ -271,17 +273,17 @@
     std::copy_if(listed.begin(), listed.end(), std::back_inserter(missing),
         [this](const instance_ref& witness) { return !m_silent.contains(witness) && !m_answered.contains(witness); });
     if (listed.size() - missing.size() < majority)
-        return noteStuck(missing, now);
-    noteProgress();
+        return reportIfBlocked(missing, now);
+    clearBlocked();
 }
 
-// The row that was marked names the set; it can no longer change.
+// The witness set in the fencing row is final.
 void takeover::beginCollecting(time_point now)
 {
     m_stage = takeover_stage::collecting;
     const bool isStale = m_settings.mutations.staleWitnessSet;
     m_quorum.collectFor(m_start.holder, isStale ? m_firstWitnesses : m_holderRow->row.witnesses);
-    countTerminated();
+    countTerminatedWitnesses();
     if (!releaseTime()) {
         requestPromises();
         retryLater(now);
@@ -295,9 +297,9 @@
         emit(promise_request { m_start.holder, witness });
 }
 
-// The last grant of a terminated process was given before its successor registered; when that was seen, the whole of
-// the grant may still have been to come.
-void takeover::countTerminated()
+// A terminated process gave its last grant before its successor registered. When the successor's row arrived, the full
+// duration of that grant may still have been left.
+void takeover::countTerminatedWitnesses()
 {
     const auto wait = m_settings.mutations.substituteWithoutWait ? duration(0) : m_settings.witnessGrantTime();
     for (const auto& witness : witnesses()) {
@@ -318,23 +320,23 @@
         return emit(start_timer { m_retryAt });
     if (now < *release)
         return emit(start_timer { *release });
-    m_isOver = true;
+    m_hasLeaseEnded = true;
     commit(takeover_stage::confirming, member_state::fenced);
 }
 
-// The operator's word replaces the promises but not the wait: it also covers a process that was cut off from its
-// witnesses a moment ago and still counts on its last grants.
+// The operator's declaration replaces the promises but not the wait, since it also covers a process that was cut off
+// from its witnesses a moment ago and still relies on its last grants.
 std::optional<time_point> takeover::releaseTime() const
 {
     const auto release = m_quorum.releaseTime();
-    if (!m_declaredAt)
+    if (!m_declaredLostAt)
         return release;
-    const auto declared = *m_declaredAt + m_settings.witnessGrantTime();
+    const auto declared = *m_declaredLostAt + m_settings.witnessGrantTime();
     return release ? std::min(*release, declared) : declared;
 }
 
-// The version ties the write to the incarnation and the witness set that were read. The check of the own row lets only
-// one of two instances that suspect each other succeed.
+// The version makes the write conditional on the incarnation and the witness set that were read. Due to the check of
+// this instance's own row, only one of two instances that suspect each other succeeds.
 void takeover::commit(takeover_stage stage, member_state state)
 {
     m_stage = stage;
@@ -353,14 +355,14 @@
 void takeover::beginReassigning()
 {
     m_stage = takeover_stage::reassigning;
-    noteProgress();
+    clearBlocked();
     emit(reassign_pages { m_start.holder });
 }
 
 void takeover::finish(takeover_outcome outcome)
 {
     m_stage = takeover_stage::finished;
-    noteProgress();
+    clearBlocked();
     emit(finished { m_start.holder, outcome });
 }
 
@@ -370,17 +372,17 @@
     emit(start_timer { m_retryAt });
 }
 
-void takeover::noteProgress()
+void takeover::clearBlocked()
 {
-    m_stuckSince.reset();
+    m_noProgressSince.reset();
     m_isBlocked = false;
 }
 
-void takeover::noteStuck(const std::vector<instance_ref>& missing, time_point now)
+void takeover::reportIfBlocked(const std::vector<instance_ref>& missing, time_point now)
 {
-    if (!m_stuckSince)
-        m_stuckSince = now;
-    if (m_isBlocked || now - *m_stuckSince < m_settings.blockedAfter)
+    if (!m_noProgressSince)
+        m_noProgressSince = now;
+    if (m_isBlocked || now - *m_noProgressSince < m_settings.blockedAfter)
         return;
     m_isBlocked = true;
     emit(report_blocked { m_start.holder, missing });
--- a/src/lease/internal/witness_change.cpp
+++ b/src/lease/internal/witness_change.cpp
@@ -28,16 +28,16 @@
         m_result = change_result { change_outcome::applied, { answer.version, m_write.row } };
         return {};
     }
-    // A conflict may be with the first copy of this very write.
+    // The conflict may be with an earlier copy of the same write.
     if (answer.status == commit_status::conflict)
         return { read_row { m_write.row.self.id } };
     return readLater(now);
 }
 
-// An unchanged row proves nothing, since the write may still be on its way: the same write is sent again, and only one
-// copy can take effect. A later version proves that no copy will; the set in it tells which one counted. Only the
-// holder changes the set, and it has one change at a time, so the new set can have come from this write only, even if a
-// takeover has marked the row since.
+// An unchanged row is inconclusive, since the write may still be in transit: the same write is sent again, and only one
+// copy can take effect. After a later version no copy can take effect any more, and its witness set shows whether one
+// did. Only the holder changes the set, one change at a time, so the new set can only come from this write, even if a
+// takeover has set the row to fencing since.
 std::vector<change_action> witness_change::on(const row_read& answer, time_point now)
 {
     if (answer.id != m_write.row.self.id)
--- a/src/lease/internal/witness_selection.cpp
+++ b/src/lease/internal/witness_selection.cpp
@@ -24,7 +24,7 @@
         std::size_t perZone = 0;
     };
 
-    // The weight uses the id without the incarnation, so that a restart changes no choice.
+    // The weight uses the id without the incarnation, so that a restart does not change the selection.
     std::vector<candidate> rankCandidates(const member_row& self, const std::vector<member_row>& members,
         const std::function<bool(const member_row&)>& isUsable)
     {
@@ -47,16 +47,17 @@
         return available >= wanted.size;
     }
 
-    // Five with at most two per zone, or three with at most one, keep a majority when a zone is lost. If the members
-    // allow neither (two zones, or fewer than three candidates), the largest odd set with the evenest spread remains.
+    // Five witnesses with at most two per zone, or three with at most one, keep a majority after the loss of a zone. If
+    // the members allow neither (two zones, or fewer than three candidates), the largest odd set with the most even
+    // spread is used.
     shape chooseShape(const zone_counts& zones, std::size_t candidates)
     {
         for (const shape wanted : { shape { 5, 2 }, shape { 3, 1 } }) {
             if (isFeasible(zones, wanted))
                 return wanted;
         }
-        const auto most = std::min(candidates, maximumWitnesses);
-        shape wanted { most % 2 == 1 ? most : most - 1, 1 };
+        const auto maxSize = std::min(candidates, maxWitnesses);
+        shape wanted { maxSize % 2 == 1 ? maxSize : maxSize - 1, 1 };
         while (!isFeasible(zones, wanted))
             ++wanted.perZone;
         return wanted;
@@ -70,8 +71,8 @@
         && (other.state == member_state::joining || other.state == member_state::active);
 }
 
-// Taking candidates by weight while their zone has room is the greedy algorithm on a truncated partition matroid: one
-// candidate more or less changes at most one witness as long as the shape stays the same.
+// Selecting candidates by weight up to the limit per zone is the greedy algorithm on a truncated partition matroid:
+// adding or removing one candidate changes at most one witness as long as the shape stays the same.
 std::vector<instance_ref> chooseWitnesses(const member_row& self, const std::vector<member_row>& members,
     const std::function<bool(const member_row&)>& isUsable)
 {
--- a/src/lease/promise_quorum.h
+++ b/src/lease/promise_quorum.h
@@ -9,16 +9,16 @@
 
 namespace heatherdrift {
 
-/// Ends of the grants of one holder, as promised by the witnesses of its frozen set.
+/// Promises of the witnesses in the final witness set of one holder, with the time at which their grants expire.
 class promise_quorum {
 public:
-    /// Forgets the promises if they were given for another holder or witness set.
+    /// Discards the promises collected so far if they are for another holder or witness set.
     void collectFor(const instance_ref& holder, const std::vector<instance_ref>& witnesses);
-    /// All grants of the witness have ended at this time on the clock of the takeover; none will follow.
+    /// All grants of the witness have expired at this time on the clock of the takeover, and it gives no new ones.
     void add(const instance_ref& witness, time_point end);
     bool has(const instance_ref& witness) const { return m_ends.contains(witness); }
     std::vector<instance_ref> missing() const;
-    /// When a majority has no grant any more; empty without a majority, and always for the empty set.
+    /// When the grants of a majority have expired; empty without promises of a majority, and always for the empty set.
     std::optional<time_point> releaseTime() const;
 
 private:
@@ -27,13 +27,13 @@
     std::map<instance_ref, time_point> m_ends;
 };
 
-/// Rows seen of the instances that take part in a takeover, and what they prove about older incarnations.
+/// Newest rows of the instances that take part in a takeover, and what they prove about older incarnations.
 class termination_record {
 public:
-    void learn(const member_row&, time_point now);
+    void update(const member_row&, time_point now);
     /// The row with the highest incarnation.
     const member_row* find(const instance_id&) const;
-    /// Since when it is known that the process has terminated; empty if it is not proven.
+    /// When the row arrived that proves the termination of the process; empty if it is not proven.
     std::optional<time_point> terminatedSince(const instance_ref&) const;
 
 private:
--- a/src/lease/row_actions.h
+++ b/src/lease/row_actions.h
@@ -8,17 +8,17 @@
 
 namespace heatherdrift {
 
-// Steps of the state machines that change member rows. The driver performs actions in their order. It answers every
-// read and every commit, at the latest after the store's deadline.
+// Actions and inputs of the state machines that change member rows. The driver performs actions in order and responds
+// to every read and commit, at the latest when the store's deadline expires.
 
-/// Read a member row; answered with row_read or read_failed.
+/// Read a member row. The response is row_read or read_failed.
 struct read_row {
     instance_id id;
 
     bool operator==(const read_row&) const = default;
 };
 
-/// Write a member row if it has the expected version and all checks hold; answered with commit_done.
+/// Write a member row if it has the expected version and all checks hold. The response is commit_done.
 struct commit_row {
     std::string operationId;
     member_row row;
@@ -28,7 +28,7 @@
     bool operator==(const commit_row&) const = default;
 };
 
-/// Pass timer_due at this time on the boot clock; replaces an earlier timer.
+/// Deliver timer_due at this time on the boot clock; replaces an earlier timer.
 struct start_timer {
     time_point at;
 
@@ -47,8 +47,8 @@
 enum class commit_status {
     applied,
     conflict, ///< A version did not match; nothing was written.
-    not_sent, ///< Cannot take effect.
-    unknown, ///< The answer was lost; the write may have taken effect or may still do so.
+    not_sent, ///< The write was not sent and cannot take effect.
+    unknown, ///< No answer; the write may have taken effect or may still do so.
 };
 
 struct commit_done {
--- a/src/lease/takeover.h
+++ b/src/lease/takeover.h
@@ -17,20 +17,20 @@
 
 // Actions, in addition to those of row_actions.h.
 
-/// No partition of the holder is served any more: give its partitions to others with epoch + 1, each write conditional
-/// on its successor's row being active; answer with pages_reassigned when none is left.
+/// The holder no longer serves any partition. Assign its partitions to other instances with epoch + 1, each write
+/// conditional on the new owner's row being active. The response is pages_reassigned once none is left.
 struct reassign_pages {
     instance_ref holder;
 };
-/// An operator must act. Given once, until there was progress.
+/// The takeover needs an operator. Emitted once, and again only after progress was made.
 struct report_blocked {
     instance_ref holder;
-    std::vector<instance_ref> missing; ///< Witnesses that neither answer nor are proven to have terminated.
+    std::vector<instance_ref> missing; ///< Witnesses that do not answer and are not proven to have terminated.
 };
 enum class takeover_outcome {
     completed,
-    abandoned, ///< Nothing to do, or not for this instance.
-    left_to_other, ///< Another instance has begun the same takeover.
+    abandoned, ///< No takeover is needed, or this instance may not perform it.
+    handled_by_other, ///< Another instance has started the same takeover.
 };
 struct finished {
     instance_ref holder;
@@ -41,24 +41,24 @@
 
 // Inputs, in addition to those of row_actions.h.
 
-/// A row that arrived by replication: the holder's, the own or a witness's.
+/// A replicated row arrived: of the holder, this instance or a witness.
 struct member_seen {
     versioned_member row;
 };
 /// A renewal of the holder arrived at this node's witness.
 struct holder_heard { };
-/// An operator states that the holder's process does not run and will not resume.
+/// An operator confirms that the holder's process is not running and will not resume.
 struct declared_lost { };
 struct pages_reassigned { };
 using takeover_input = std::variant<row_read, read_failed, commit_done, lease_promise, promise_refusal, silence_report,
     member_seen, timer_due, holder_heard, declared_lost, pages_reassigned>;
 
 enum class takeover_stage {
-    reading, ///< The own row and the holder's.
-    inquiring, ///< Do other witnesses miss the holder, too?
-    marking, ///< Row to fencing.
-    collecting, ///< Promises; then the wait for the last grant.
-    confirming, ///< Row to fenced.
+    reading, ///< Reads this instance's row and the holder's.
+    inquiring, ///< Asks the other witnesses whether the holder is silent for them, too.
+    marking, ///< Sets the holder's row to fencing.
+    collecting, ///< Collects promises, then waits until the last grant expires.
+    confirming, ///< Sets the holder's row to fenced.
     reassigning,
     finished,
 };
@@ -67,12 +67,13 @@
     instance_ref self;
     instance_ref holder;
     bool isResumed = false; ///< As in takeover_call.
-    std::string operationPrefix; ///< Unique per object; operation ids are made from it.
+    std::string operationPrefix; ///< Prefix of the operation ids, unique per object.
     std::uint64_t seed = 0; ///< For the jitter.
 };
 
-/// Takeover of one incarnation of an instance, as seen by one other instance. Pure. It may be dropped at any time: all
-/// steps are idempotent, and what counts is in the rows. `now` must be read after the input was received.
+/// State machine that takes over the partitions of one incarnation of an instance, run by another instance. Does no
+/// input or output. It may be destroyed at any time: all steps are idempotent, and the authoritative state is in the
+/// rows. `now` must be read after the input was received.
 class takeover {
 public:
     takeover(takeover_start, const lease_settings&);
@@ -100,15 +101,15 @@
 
     void onCollectingTimer(time_point now);
     void beginReading();
-    void learn(const versioned_member&, time_point now);
+    void updateRow(const versioned_member&, time_point now);
     void decide(time_point now);
-    void decideOnNewer(time_point now);
+    void decideOnNewerIncarnation(time_point now);
     bool isOwnRowUsable() const;
     void beginInquiry(time_point now);
     void checkInquiry(time_point now);
     void beginCollecting(time_point now);
     void requestPromises();
-    void countTerminated();
+    void countTerminatedWitnesses();
     void checkQuorum(time_point now);
     std::optional<time_point> releaseTime() const;
     void commit(takeover_stage, member_state);
@@ -116,8 +117,8 @@
     void beginReassigning();
     void finish(takeover_outcome);
     void retryLater(time_point now);
-    void noteProgress();
-    void noteStuck(const std::vector<instance_ref>& missing, time_point now);
+    void clearBlocked();
+    void reportIfBlocked(const std::vector<instance_ref>& missing, time_point now);
     void emit(takeover_action);
     std::vector<instance_ref> witnesses() const;
 
@@ -129,17 +130,17 @@
     bool m_isHolderRead = false;
     bool m_isOwnRead = false;
     std::vector<instance_ref> m_firstWitnesses; ///< Of the first read; only for lease_mutations::staleWitnessSet.
-    std::set<instance_ref> m_silent; ///< Witnesses that miss the holder.
+    std::set<instance_ref> m_silent; ///< Witnesses for which the holder is silent.
     std::set<instance_ref> m_answered;
     promise_quorum m_quorum;
     termination_record m_terminations;
-    member_row m_written; ///< By the commit whose outcome is awaited.
+    member_row m_written; ///< Row of the commit whose outcome is pending.
     unsigned m_operations = 0;
-    bool m_isOver = false; ///< The holder's lease is known to have ended for good.
-    std::optional<time_point> m_declaredAt;
+    bool m_hasLeaseEnded = false; ///< The holder's lease has ended permanently.
+    std::optional<time_point> m_declaredLostAt;
     time_point m_retryAt {};
     backoff m_backoff;
-    std::optional<time_point> m_stuckSince;
+    std::optional<time_point> m_noProgressSince;
     bool m_isBlocked = false;
     std::vector<takeover_action> m_actions;
 };
--- a/src/lease/tests/fake_rows.h
+++ b/src/lease/tests/fake_rows.h
@@ -18,7 +18,7 @@
 inline instance_id idOf(unsigned index) { return "n" + std::to_string(index); }
 inline unsigned indexOf(const instance_id& id) { return static_cast<unsigned>(id[1] - '0'); }
 
-/// The store: rows of the members n0, n1, ..., and one page. Reports transitions that no row may make.
+/// The store: rows of the members n0, n1, ..., and one page. Reports forbidden transitions of rows.
 class fake_rows {
 public:
     fake_rows(fake_world& world, unsigned count, std::function<void(const std::string&)> onViolation)
@@ -38,10 +38,10 @@
 
     std::vector<versioned_member> members;
     fake_page page;
-    unsigned marks = 0; ///< Rows set to fencing.
+    unsigned marks = 0; ///< Number of writes that set a row to fencing.
     std::function<void(const versioned_member&)> onWrite;
 
-    /// Calls back without a row if the answer was lost or there was none.
+    /// Calls `done` without a row if there was no answer.
     void read(unsigned from, unsigned row, std::function<void(const maybe_row&)> done)
     {
         const auto seen = std::make_shared<versioned_member>();
@@ -63,7 +63,7 @@
             from, [this, write, version] { *version = apply(write); }, finish);
     }
 
-    /// Gives the page as it was seen to a successor, if neither has changed; true if it took effect.
+    /// Assigns the page to the successor if neither has changed since it was read; returns whether that took effect.
     bool writePage(const fake_page& seen, const versioned_member& successor)
     {
         const auto& row = members[indexOf(successor.row.self.id)];
--- a/src/lease/tests/fake_world.h
+++ b/src/lease/tests/fake_world.h
@@ -16,14 +16,14 @@
 /// True time in microseconds.
 using moment = std::int64_t;
 constexpr moment millisecond = 1000;
-/// Node number of events that no process runs: faults, and effects at the store.
+/// Node index of events that do not run in a process: faults, and effects at the store.
 constexpr unsigned environment = 99;
 
-/// A machine slot; the process in it may be paused, terminated and replaced.
+/// An instance; its process may be paused, terminated and replaced.
 struct fake_node {
     double clockRate = 1;
     moment clockOffset = 0;
-    unsigned process = 0; ///< Counts terminations.
+    unsigned process = 0; ///< Number of terminated processes; identifies the current one.
     bool isUp = true;
     moment pausedUntil = 0;
     moment cutUntil = 0;
@@ -37,7 +37,7 @@
 
 enum class reply { answered, not_sent, unknown };
 
-/// Events in true time, local clocks, and the timing and faults of a network and a store.
+/// Discrete-event simulation in true time with local clocks, and with delays and faults of a network and a store.
 class fake_world {
 public:
     using action = std::function<void()>;
@@ -57,7 +57,7 @@
     moment now() const { return m_now; }
     std::minstd_rand& random() { return m_random; }
     bool chance(double share) { return std::uniform_real_distribution<>(0, 1)(m_random) < share; }
-    moment between(moment least, moment most) { return std::uniform_int_distribution<moment>(least, most)(m_random); }
+    moment between(moment min, moment max) { return std::uniform_int_distribution<moment>(min, max)(m_random); }
 
     time_point clockOf(unsigned index) const
     {
@@ -71,14 +71,14 @@
         return std::max(m_now, 1 + static_cast<moment>(elapsed / at.clockRate));
     }
 
-    /// For the process that is in the node now; a later one does not get it.
+    /// Schedules an event for the current process of the node; a later process does not run it.
     void at(moment when, unsigned index, action run)
     {
         const auto process = index == environment ? std::nullopt : std::optional(m_nodes[index].process);
         push({ when, ++m_sequence, index, process, std::move(run) });
     }
 
-    /// For whichever process is in the node on arrival.
+    /// Delivers a message to the process that runs in the node on arrival.
     void send(unsigned from, unsigned to, moment usualDelay, const action& deliver)
     {
         const bool isRemote = from != environment && from != to;
@@ -89,7 +89,7 @@
             push({ m_now + (from == to ? 0 : delay(usualDelay)), ++m_sequence, to, std::nullopt, deliver });
     }
 
-    /// A call whose answer is late or lost may take effect after its caller has given up.
+    /// Calls the store. A call whose answer is late or lost may take effect after the caller has timed out.
     void callStore(unsigned index, action atStore, std::function<void(reply)> done)
     {
         if (m_outageUntil > m_now && chance(0.5))
@@ -155,12 +155,9 @@
     };
 
     static constexpr moment storeTimeout = 1000 * millisecond;
-    static constexpr moment longestDelay = 3000 * millisecond;
+    static constexpr moment maxDelay = 3000 * millisecond;
 
-    moment delay(moment usual)
-    {
-        return chance(m_rates.longDelay) ? between(0, longestDelay) : between(usual / 10, usual);
-    }
+    moment delay(moment usual) { return chance(m_rates.longDelay) ? between(0, maxDelay) : between(usual / 10, usual); }
     void push(event entry)
     {
         m_events.push_back(std::move(entry));
--- a/src/lease/tests/lease_history.cpp
+++ b/src/lease/tests/lease_history.cpp
@@ -14,8 +14,8 @@
 namespace {
 
     constexpr moment tickInterval = 200 * millisecond;
-    constexpr moment leastSettling = 1600 * millisecond; // longer than any lease from before
-    constexpr moment mostSettling = 40000 * millisecond;
+    constexpr moment minSettleTime = 1600 * millisecond; // longer than any lease granted before
+    constexpr moment maxSettleTime = 40000 * millisecond;
 
     template <typename... Functions> struct overloaded : Functions... {
         using Functions::operator()...;
@@ -25,13 +25,13 @@
     using message = std::variant<lease_renewal, lease_grant, lease_refusal, promise_request, lease_promise,
         promise_refusal, silence_inquiry, silence_report>;
 
-    /// State of the process in a node.
+    /// State of the current process of a node.
     struct process_state {
         instance_ref self;
-        std::optional<witness> watcher;
+        std::optional<witness> localWitness;
         std::optional<lease_holder> lease;
         std::map<unsigned, takeover> takeovers;
-        std::vector<versioned_member> known; ///< Rows as replicated to it.
+        std::vector<versioned_member> replicatedRows;
     };
 
     class history {
@@ -46,7 +46,7 @@
             m_rows.members[0].row.witnesses = chooseWitnesses(m_rows.members[0].row, members(m_rows.members));
             m_rows.onWrite = [this](const versioned_member& row) {
                 for (unsigned i = 0; i < m_count; ++i)
-                    m_world.send(environment, i, 50 * millisecond, [=, this] { learn(i, row); });
+                    m_world.send(environment, i, 50 * millisecond, [=, this] { onReplicatedRow(i, row); });
             };
             m_rows.page.owner = m_rows.members[0].row.self;
             m_owners.insert(m_rows.page.owner);
@@ -61,12 +61,12 @@
 
         history_result run()
         {
-            constexpr moment quiet = faultsEndMs * millisecond;
+            constexpr moment faultsEnd = faultsEndMs * millisecond;
             while (m_result.violation.empty() && m_world.step()) {
                 checkOwners();
-                if (m_world.now() > quiet + leastSettling && isSettled())
+                if (m_world.now() > faultsEnd + minSettleTime && isSettled())
                     break;
-                if (m_world.now() > quiet + mostSettling)
+                if (m_world.now() > faultsEnd + maxSettleTime)
                     violate("not settled");
             }
             m_result.marks = m_rows.marks;
@@ -88,7 +88,7 @@
                 m_result.violation = text + " at " + std::to_string(m_world.now() / millisecond) + " ms";
         }
 
-        // A holder may serve whenever its lease is valid, even if it has not heard that its page has another owner.
+        // A holder may serve while its lease is valid, even if it has not read yet that its page has another owner.
         void checkOwners()
         {
             const auto& lease = m_processes[0].lease;
@@ -106,13 +106,13 @@
             return !isOwnerLost && holder.lease && holder.lease->validUntil() > m_world.clockOf(0);
         }
 
-        void learn(unsigned at, const versioned_member& row)
+        void onReplicatedRow(unsigned at, const versioned_member& row)
         {
             auto& process = m_processes[at];
-            if (!process.watcher || process.known[indexOf(row.row.self.id)].version >= row.version)
+            if (!process.localWitness || process.replicatedRows[indexOf(row.row.self.id)].version >= row.version)
                 return;
-            process.known[indexOf(row.row.self.id)] = row;
-            process.watcher->learnMember(row.row, m_world.clockOf(at));
+            process.replicatedRows[indexOf(row.row.self.id)] = row;
+            process.localWitness->learnMember(row.row, m_world.clockOf(at));
             feedAll(at, member_seen { row });
         }
 
@@ -165,10 +165,10 @@
         {
             auto& process = m_processes[index];
             process.self = row.row.self;
-            process.known = m_rows.members;
-            process.watcher.emplace(process.self, m_plan.settings, m_world.clockOf(index));
+            process.replicatedRows = m_rows.members;
+            process.localWitness.emplace(process.self, m_plan.settings, m_world.clockOf(index));
             for (const auto& entry : m_rows.members)
-                process.watcher->learnMember(entry.row, m_world.clockOf(index));
+                process.localWitness->learnMember(entry.row, m_world.clockOf(index));
             if (index != 0)
                 return m_world.at(m_world.now() + m_world.between(0, tickInterval), index, [=, this] { tick(index); });
             m_holderRow = row;
@@ -176,7 +176,7 @@
             poll();
         }
 
-        // A process whose lease has ended for good exits and is started again.
+        // A process whose lease has ended permanently exits and is started again.
         void restartIfEnded()
         {
             if (!m_processes[0].lease || !m_processes[0].lease->ended())
@@ -212,7 +212,7 @@
                 break;
             case fault_kind::needless_takeover:
                 m_world.at(m_world.now(), index, [=, this] {
-                    if (index != 0 && m_processes[index].watcher)
+                    if (index != 0 && m_processes[index].localWitness)
                         startTakeover(index, m_rows.members[0].row.self, false);
                 });
                 break;
@@ -232,7 +232,7 @@
         {
             const auto target = indexOf(to);
             m_world.send(from, target, 2 * millisecond, [=, this] {
-                if (m_processes[target].watcher)
+                if (m_processes[target].localWitness)
                     std::visit([&](const auto& value) { receive(target, from, value); }, content);
             });
         }
@@ -240,7 +240,7 @@
         void receive(unsigned at, unsigned from, const lease_renewal& renewal)
         {
             auto& process = m_processes[at];
-            const auto answer = process.watcher->answer(renewal, m_world.clockOf(at));
+            const auto answer = process.localWitness->answer(renewal, m_world.clockOf(at));
             if (std::holds_alternative<lease_grant>(answer) && m_promised.contains({ process.self, renewal.holder }))
                 violate("a grant after a promise");
             std::visit([&](const auto& value) { send(at, idOf(from), value); }, answer);
@@ -250,7 +250,7 @@
         void receive(unsigned at, unsigned from, const promise_request& request)
         {
             auto& process = m_processes[at];
-            const auto answer = process.watcher->answer(request, m_world.clockOf(at));
+            const auto answer = process.localWitness->answer(request, m_world.clockOf(at));
             if (std::holds_alternative<lease_promise>(answer))
                 m_promised.insert({ process.self, request.holder });
             std::visit([&](const auto& value) { send(at, idOf(from), value); }, answer);
@@ -258,7 +258,7 @@
 
         void receive(unsigned at, unsigned from, const silence_inquiry& inquiry)
         {
-            send(at, idOf(from), m_processes[at].watcher->answer(inquiry, m_world.clockOf(at)));
+            send(at, idOf(from), m_processes[at].localWitness->answer(inquiry, m_world.clockOf(at)));
         }
 
         template <typename Answer> void receive(unsigned at, unsigned, const Answer& answer)
@@ -285,7 +285,7 @@
                 if (token == m_pollToken)
                     poll();
             });
-            if (const auto next = holder.lease->proposeWitnesses(m_holderRow.row, members(holder.known), now))
+            if (const auto next = holder.lease->proposeWitnesses(m_holderRow.row, members(holder.replicatedRows), now))
                 changeWitnesses(*next);
         }
 
@@ -294,7 +294,7 @@
             if (!m_processes[0].lease)
                 return;
             std::vector<instance_ref> others;
-            for (const auto& row : m_processes[0].known)
+            for (const auto& row : m_processes[0].replicatedRows)
                 others.push_back(row.row.self);
             others.erase(others.begin());
             std::shuffle(others.begin(), others.end(), m_world.random());
@@ -350,11 +350,11 @@
         void tick(unsigned index)
         {
             auto& process = m_processes[index];
-            for (const auto& call : process.watcher->takeoversDue(m_world.clockOf(index)))
+            for (const auto& call : process.localWitness->takeoversDue(m_world.clockOf(index)))
                 startOnce(index, call.holder, call.isResumed);
-            // In the product, the page's coordinator finds owners that a newer incarnation has superseded.
-            const auto& known = process.known[0].row.self;
-            if (m_rows.page.owner.id == known.id && m_rows.page.owner.number < known.number)
+            // In production, the coordinator of the page detects owners that a newer incarnation has superseded.
+            const auto& current = process.replicatedRows[0].row.self;
+            if (m_rows.page.owner.id == current.id && m_rows.page.owner.number < current.number)
                 startOnce(index, m_rows.page.owner, true);
             m_world.at(m_world.now() + tickInterval, index, [=, this] { tick(index); });
         }
@@ -413,7 +413,7 @@
                 [](const report_blocked&) {},
                 [&](const finished& done) {
                     if (done.outcome == takeover_outcome::completed)
-                        m_processes[index].watcher->takeoverFinished(done.holder);
+                        m_processes[index].localWitness->takeoverFinished(done.holder);
                     m_world.at(m_world.now(), index, [=, this] { m_processes[index].takeovers.erase(id); });
                 },
             };
@@ -456,9 +456,9 @@
         fake_world m_world;
         std::vector<process_state> m_processes;
         fake_rows m_rows;
-        std::set<instance_ref> m_owners; ///< All that the page ever had.
+        std::set<instance_ref> m_owners; ///< All owners that the page has had.
         std::set<std::pair<instance_ref, instance_ref>> m_promised; ///< Witness and holder.
-        versioned_member m_holderRow; ///< As the holder knows it from its own writes and reads.
+        versioned_member m_holderRow; ///< As last written or read by the holder.
         std::optional<witness_change> m_change;
         unsigned m_pollToken = 0;
         unsigned m_counter = 0;
--- a/src/lease/tests/lease_history.h
+++ b/src/lease/tests/lease_history.h
@@ -13,8 +13,8 @@
     cut_off, ///< From all other instances, not from the store.
     store_outage,
     lost_answers, ///< Of the store.
-    change_witnesses, ///< The holder changes to an arbitrary set, without trying it.
-    needless_takeover, ///< An instance starts a takeover although its witness did not ask for it.
+    change_witnesses, ///< The holder changes to an arbitrary set without sending renewals to it first.
+    needless_takeover, ///< An instance starts a takeover although none is due at its witness.
 };
 
 struct fault {
@@ -26,7 +26,7 @@
 
 struct history_plan {
     unsigned witnesses = 3;
-    int holderLostAtMs = -1; ///< Terminates then and does not return; negative: not at all.
+    int holderLostAtMs = -1; ///< When the holder terminates permanently; negative: never.
     fault_rates rates;
     std::vector<fault> faults;
     lease_settings settings;
@@ -34,22 +34,21 @@
 
 struct history_result {
     std::string violation; ///< Empty if all properties held.
-    unsigned takeovers = 0; ///< Of the page, from an incarnation of the holder.
-    unsigned liveTakeovers = 0; ///< Those while the process of that incarnation still existed.
-    unsigned marks = 0; ///< Of a row as fencing.
-    unsigned changes = 0; ///< Of the witness set, known to the holder.
+    unsigned takeovers = 0; ///< Takeovers of the page from an incarnation of the holder.
+    unsigned liveTakeovers = 0; ///< Takeovers while the process of that incarnation still existed.
+    unsigned marks = 0; ///< Writes that set a row to fencing.
+    unsigned changes = 0; ///< Changes of the witness set that the holder has confirmed.
     int lastTakeoverMs = 0; ///< True time.
 };
 
 constexpr int faultsEndMs = 6000;
 
-/// Runs one holder, its successor incarnations, its witnesses, which are also the instances that take over, and the
-/// store's rows of all members and of one page, in true time. Clocks run up to 1% fast or slow. Faults end at
-/// faultsEndMs.
+/// Simulates one holder with its later incarnations, its witnesses, which also perform the takeovers, and the store
+/// with the rows of all members and of one page. Clocks run up to 1% fast or slow. Faults end at faultsEndMs.
 ///
-/// Properties checked: an incarnation that has lost its page never has a valid lease again; a witness that promised
-/// never grants; epochs, incarnations and row states never go back; a fencing row keeps its witness set; after the
-/// faults, a lost holder's page gets an owner, and a holder that is not lost gets a lease.
+/// Properties checked: an incarnation that has lost its page never has a valid lease again; a witness never grants
+/// after its promise; epochs, incarnations and row states never decrease; a fencing row keeps its witness set; after
+/// the faults, the page of a lost holder gets an owner, and a holder that is not lost gets a lease.
 history_result runHistory(const history_plan&, std::uint32_t seed);
 
 } // namespace heatherdrift::lease_test
--- a/src/lease/tests/lease_holder_test.cpp
+++ b/src/lease/tests/lease_holder_test.cpp
@@ -22,7 +22,7 @@
         return list;
     }
 
-    // Polls at the time and lets these witnesses grant at once.
+    // Polls the lease and delivers the grants of these witnesses immediately.
     void renew(lease_holder& lease, int ms, const std::string& granting)
     {
         for (const auto& renewal : lease.poll(at(ms), 1).renewals) {
@@ -33,7 +33,7 @@
 
     TEST(LeaseSettings, DefaultsAreConsistent) { EXPECT_TRUE(checkLeaseSettings(lease_settings())); }
 
-    // Guards against settings that are unsafe, or that take over healthy instances.
+    // Guards against settings that are unsafe or lead to takeovers of healthy instances.
     TEST(LeaseSettings, RejectsContradictions)
     {
         const std::function<void(lease_settings&)> cases[] = {
@@ -48,7 +48,7 @@
             [](auto& s) { s.staleConfigurationLimit = milliseconds(500); },
             [](auto& s) { s.replacementDelay = milliseconds(1000); },
             [](auto& s) { s.rebalanceDelay = milliseconds(4999); },
-            [](auto& s) { s.retryFirst = milliseconds(2001); },
+            [](auto& s) { s.initialRetryDelay = milliseconds(2001); },
             [](auto& s) { s.blockedAfter = milliseconds(1530); },
             [](auto& s) { s.mutations.noWait = true; },
         };
@@ -71,11 +71,11 @@
 
     struct majority_case {
         std::string witnesses;
-        std::vector<std::string> grants; ///< Of the renewals sent at 0, 500, 1000 ms.
+        std::vector<std::string> grants; ///< Witnesses that grant the renewals sent at 0, 500, 1000 ms.
         std::optional<int> validUntilMs;
     };
 
-    // Guards against a lease that counts on fewer than a majority, or on the wrong one of its grants.
+    // Guards against a lease that relies on less than a majority, or on the wrong grants.
     TEST(LeaseHolder, IsValidUntilTheMajorityEnds)
     {
         const majority_case cases[] = {
@@ -99,8 +99,9 @@
         EXPECT_EQ(lease_holder(holderRef, {}, settings, at(0)).validUntil(), unboundedLease);
     }
 
-    // Guards against grants that extend the lease by being late, repeated, out of order, or another's.
-    TEST(LeaseHolder, CountsEachGrantFromItsRenewal)
+    // Guards against grants that extend the lease although they are late, repeated, out of order, or for another holder
+    // or witness.
+    TEST(LeaseHolder, StartsEachGrantAtItsRenewal)
     {
         lease_holder lease(holderRef, refs("a"), settings, at(0));
         const auto first = lease.poll(at(0), 1).renewals.at(0);
@@ -143,7 +144,8 @@
         }
     }
 
-    // Guards against hazard (a): a fencer may find either set in the row while the write's outcome is unknown.
+    // Guards against hazard (a) of docs/ownership.md: while the outcome of the write is unknown, a takeover may find
+    // either set in the row.
     TEST(LeaseHolder, NeedsBothSetsDuringAChange)
     {
         for (const auto outcome : { change_outcome::applied, change_outcome::not_applied }) {
@@ -173,7 +175,7 @@
         std::optional<change_outcome> outcome;
     };
 
-    // Guards against taking a write with a lost answer for applied, or for not applied while it may still arrive.
+    // Guards against treating a write with a lost answer as applied, or as not applied while it may still arrive.
     TEST(WitnessChange, SettlesOnlyOnProof)
     {
         const auto row = makeMember("h", "a", 3, member_state::active, refs("abc"));
@@ -210,11 +212,11 @@
         std::vector<member_row> members;
         std::string current;
         std::string silent;
-        std::string expected; ///< Members of the proposed set; "-" for no proposal.
+        std::string expected; ///< Witnesses of the proposed set; "-" for no proposal.
         int afterMs;
     };
 
-    // Guards against witness sets that change needlessly, late, or to the empty set while others exist.
+    // Guards against witness sets that change needlessly, too late, or to the empty set while other members exist.
     TEST(WitnessPlanner, ProposesWhatIsNeeded)
     {
         const auto self = makeMember("h", "a", 3);
@@ -249,11 +251,12 @@
             for (const auto& witness : plan.witnesses)
                 proposed += witness.id;
             std::sort(proposed.begin(), proposed.end());
-            EXPECT_EQ(plan.need == witness_need::none ? "-" : proposed, entry.expected) << entry.name;
+            EXPECT_EQ(plan.urgency == change_urgency::none ? "-" : proposed, entry.expected) << entry.name;
         }
     }
 
-    // Guards against a change to witnesses that do not answer, and against counting the own pause as their silence.
+    // Guards against a change to witnesses that do not answer, and against treating a pause of the holder as their
+    // silence.
     TEST(LeaseHolder, TriesCandidatesFirst)
     {
         const auto self = makeMember("h", "a", 3, member_state::active, refs("bcd"));
@@ -268,7 +271,7 @@
             renew(lease, ms, "b");
             EXPECT_FALSE(lease.proposeWitnesses(self, members, at(ms)));
         }
-        renew(lease, 11000, "ef"); // c and d are silent by now, so b, e and f are tried
+        renew(lease, 11000, "ef"); // c and d are silent by now, so renewals go to b, e and f
         const auto proposed = lease.proposeWitnesses(self, members, at(11000));
         ASSERT_TRUE(proposed);
         for (const auto& witness : *proposed)
--- a/src/lease/tests/lease_properties_test.cpp
+++ b/src/lease/tests/lease_properties_test.cpp
@@ -16,7 +16,7 @@
         kind::lost_answers, kind::change_witnesses, kind::needless_takeover };
     const fault_rates clean {};
 
-    history_plan genPlan(const std::vector<fault_kind>& kinds, const fault_rates& most)
+    history_plan genPlan(const std::vector<fault_kind>& kinds, const fault_rates& maxRates)
     {
         const auto one = rc::gen::construct<fault>(rc::gen::elementOf(kinds), rc::gen::inRange(0u, 420u),
             rc::gen::inRange(0, faultsEndMs), rc::gen::inRange(50, 3000));
@@ -24,12 +24,12 @@
         plan.witnesses = *rc::gen::element(1u, 3u, 5u);
         plan.holderLostAtMs = *rc::gen::element(-1, *rc::gen::inRange(0, faultsEndMs));
         const double share = *rc::gen::inRange(0, 5) / 4.0;
-        plan.rates = { most.loss * share, most.duplication * share, most.longDelay * share };
+        plan.rates = { maxRates.loss * share, maxRates.duplication * share, maxRates.longDelay * share };
         plan.faults = *rc::gen::container<std::vector<fault>>(*rc::gen::inRange<std::size_t>(1, 10), one);
         return plan;
     }
 
-    // Each history of a plan leaves out some faults and moves the others.
+    // Each history of a plan omits some of its faults and shifts the others in time.
     history_plan vary(history_plan plan, std::uint32_t seed)
     {
         std::minstd_rand random(seed);
@@ -39,9 +39,9 @@
         return plan;
     }
 
-    void checkProperties(const std::vector<fault_kind>& kinds, const fault_rates& most)
+    void checkProperties(const std::vector<fault_kind>& kinds, const fault_rates& maxRates)
     {
-        const auto plan = genPlan(kinds, most);
+        const auto plan = genPlan(kinds, maxRates);
         const auto seed = *rc::gen::arbitrary<std::uint32_t>();
         for (unsigned i = 0; i < historiesPerPlan; ++i) {
             const auto result = runHistory(vary(plan, seed + i), seed + i);
@@ -50,7 +50,8 @@
         }
     }
 
-    // The four properties guard against two valid owners, broken promises, steps back, and takeovers that never end.
+    // The four properties guard against two valid owners, grants after a promise, decreasing epochs, incarnations or
+    // states, and takeovers that never end.
     RC_GTEST_PROP(LeaseProperties, HoldUnderNetworkFaults, ())
     {
         checkProperties({ kind::cut_off, kind::change_witnesses, kind::needless_takeover }, { 0.3, 0.3, 0.3 });
@@ -69,15 +70,15 @@
 
     RC_GTEST_PROP(LeaseProperties, HoldUnderAllFaultsTogether, ()) { checkProperties(allKinds, { 0.2, 0.2, 0.2 }); }
 
-    // A scripted hazard, and bounds on what happens in each of its histories.
+    // A scripted scenario, and bounds on the results of each of its histories.
     struct hazard {
         const char* name;
         unsigned witnesses;
         int holderLostAtMs;
         std::vector<fault> faults;
-        unsigned leastTakeovers;
-        unsigned mostTakeovers;
-        unsigned leastChanges;
+        unsigned minTakeovers;
+        unsigned maxTakeovers;
+        unsigned minChanges;
         double longDelay = 0;
     };
 
@@ -89,16 +90,16 @@
                 { { kind::lost_answers, 0, 900, 2500 }, { kind::change_witnesses, 0, 1000, 0 },
                     { kind::cut_off, 0, 1100, 4000 } },
                 1, 4, 0 },
-            { "b: two fencers, one twice", 5, 1000,
+            { "b: takeovers by two instances, by one of them twice", 5, 1000,
                 { { kind::needless_takeover, 1, 2000, 0 }, { kind::needless_takeover, 2, 2000, 0 },
                     { kind::needless_takeover, 2, 2001, 0 } },
                 1, 1, 0 },
-            { "d: paused holder wakes", 5, -1, { { kind::pause, 0, 1000, 4000 } }, 1, 1, 0 },
+            { "d: paused holder resumes", 5, -1, { { kind::pause, 0, 1000, 4000 } }, 1, 1, 0 },
             { "e: restarted witness", 3, -1, { { kind::restart, 1, 1000, 300 } }, 0, 0, 0 },
             { "f: grants late by up to 3 s", 3, 3000, {}, 1, 4, 0, 0.4 },
-            { "h: fencers die", 3, 1000, { { kind::restart, 1, 2300, 3000 }, { kind::restart, 2, 2300, 1000 } }, 1, 1,
-                0 },
-            { "i: witness majority dies", 5, -1,
+            { "h: instances terminate during their takeovers", 3, 1000,
+                { { kind::restart, 1, 2300, 3000 }, { kind::restart, 2, 2300, 1000 } }, 1, 1, 0 },
+            { "i: majority of the witnesses terminates", 5, -1,
                 { { kind::restart, 1, 1000, 5000 }, { kind::restart, 2, 1000, 5000 }, { kind::restart, 3, 1000, 5000 },
                     { kind::restart, 4, 1000, 5000 } },
                 0, 0, 1 },
@@ -113,19 +114,19 @@
                 SCOPED_TRACE(std::string(entry.name) + ", seed " + std::to_string(seed));
                 const auto result = runHistory(plan, seed);
                 ASSERT_EQ(result.violation, "");
-                ASSERT_GE(result.takeovers, entry.leastTakeovers);
-                ASSERT_LE(result.takeovers, entry.mostTakeovers);
-                ASSERT_LE(result.marks, entry.mostTakeovers);
-                ASSERT_GE(result.changes, entry.leastChanges);
+                ASSERT_GE(result.takeovers, entry.minTakeovers);
+                ASSERT_LE(result.takeovers, entry.maxTakeovers);
+                ASSERT_LE(result.marks, entry.maxTakeovers);
+                ASSERT_GE(result.changes, entry.minChanges);
             }
         }
     }
 
-    // Guards against a takeover that keeps keys unavailable for longer than the target allows. Times are those of the
-    // fake world, with store calls of 4 to 40 ms, and do not depend on the machine.
+    // Guards against a takeover that keeps keys unavailable for longer than the target allows. Times are simulated,
+    // with store calls of 4 to 40 ms, and do not depend on the speed of the machine.
     TEST(LeaseTiming, LostHolderIsReplacedWithin3Seconds)
     {
-        int longest = 0;
+        int maxTakeoverMs = 0;
         for (std::uint32_t seed = 0; seed < 3 * historiesPerPlan; ++seed) {
             const unsigned witnesses = 1 + 2 * (seed % 3);
             const int lostAt = 1000 + static_cast<int>(seed % 500);
@@ -135,24 +136,24 @@
                 plan.faults = { { kind::restart, 3, lostAt, 9000 }, { kind::restart, 6, lostAt, 9000 } };
             const auto result = runHistory(plan, seed);
             ASSERT_EQ(result.violation, "") << "seed " << seed;
-            longest = std::max(longest, result.lastTakeoverMs - lostAt);
+            maxTakeoverMs = std::max(maxTakeoverMs, result.lastTakeoverMs - lostAt);
         }
-        EXPECT_LT(longest, 3000);
-        std::cout << "longest: " << longest << " ms" << std::endl;
+        EXPECT_LT(maxTakeoverMs, 3000);
+        std::cout << "longest takeover: " << maxTakeoverMs << " ms" << std::endl;
     }
 
     struct mutation {
         const char* name;
-        bool lease_mutations::*fault; ///< Null: no drift share.
+        bool lease_mutations::*fault; ///< Null: a drift share of 0.
         unsigned witnesses;
-        std::vector<fault_kind> kinds; ///< The faults that bring it out.
+        std::vector<fault_kind> kinds; ///< Faults under which it violates a property.
         double longDelay = 0;
     };
 
     // Seed of the first history in which the mutated protocol violates a property, or the number of histories tried.
-    std::uint32_t findViolation(const mutation& entry, std::uint32_t most)
+    std::uint32_t findViolation(const mutation& entry, std::uint32_t maxSeeds)
     {
-        for (std::uint32_t seed = 0; seed < most; ++seed) {
+        for (std::uint32_t seed = 0; seed < maxSeeds; ++seed) {
             std::minstd_rand random(seed);
             history_plan plan { entry.witnesses, -1, { 0, 0, entry.longDelay }, {}, {} };
             if (entry.fault)
@@ -168,10 +169,10 @@
             std::cout << entry.name << ", seed " << seed << ": " << result.violation << std::endl;
             return seed;
         }
-        return most;
+        return maxSeeds;
     }
 
-    // Guards against properties that hold whatever the protocol does.
+    // Guards against checks that do not detect faults of the protocol.
     TEST(LeaseProperties, FailForEachMutation)
     {
         using m = lease_mutations;
@@ -187,9 +188,9 @@
             { "assumeApplied", &m::assumeApplied, 3, { kind::store_outage, kind::lost_answers, kind::pause } },
             { "no drift share", nullptr, 1, { kind::cut_off } },
         };
-        constexpr std::uint32_t mostHistories = 60000;
+        constexpr std::uint32_t maxHistories = 60000;
         for (const auto& entry : cases)
-            EXPECT_LT(findViolation(entry, mostHistories), mostHistories) << entry.name;
+            EXPECT_LT(findViolation(entry, maxHistories), maxHistories) << entry.name;
     }
 
 } // namespace
--- a/src/lease/tests/takeover_test.cpp
+++ b/src/lease/tests/takeover_test.cpp
@@ -16,13 +16,13 @@
     const instance_ref a { "a", 1 };
     const instance_ref b { "b", 1 };
 
-    /// Rows of the store and one takeover whose reads and commits they answer at once. Other actions are kept.
+    /// One takeover with a store that answers its reads and commits immediately. Records all actions.
     struct fixture {
         std::map<instance_id, versioned_member> rows;
         takeover machine { { self, holderRef, false, "op", 1 }, settings };
         int ms = 0;
         std::vector<takeover_action> seen;
-        bool losesAnswers = false; ///< Commits take no effect, and their outcome is unknown.
+        bool losesAnswers = false; ///< Commits have no effect, and their outcome is unknown.
 
         explicit fixture(std::vector<instance_ref> witnesses = { self, a, b }, bool isResumed = false)
             : machine({ self, holderRef, isResumed, "op", 1 }, settings)
@@ -153,8 +153,9 @@
         }
     }
 
-    // Guards against marking an instance that only this one misses: a broken link, or an own loss of the network.
-    TEST(Takeover, MarksOnlyWhatAMajorityMisses)
+    // Guards against fencing an instance that is silent for this one only, due to a broken link or the loss of its own
+    // network.
+    TEST(Takeover, FencesOnlyHoldersSilentForAMajority)
     {
         fixture test;
         test.start();
@@ -166,8 +167,8 @@
         EXPECT_TRUE(test.all<commit_row>().empty());
     }
 
-    // Guards against hazard (c): two instances that are each other's witness mark each other.
-    TEST(Takeover, TwoInstancesCannotMarkEachOther)
+    // Guards against hazard (c) of docs/ownership.md: two instances that are each other's witness fence each other.
+    TEST(Takeover, TwoInstancesCannotFenceEachOther)
     {
         for (const bool isFirst : { true, false }) {
             std::map<instance_id, versioned_member> rows;
@@ -186,7 +187,7 @@
             const auto& lost = writes[isFirst ? 1 : 0];
             rows[won.row.self.id] = { 2, won.row };
             EXPECT_EQ(lost.checks.at(0).key.key, won.row.self.id);
-            EXPECT_EQ(lost.checks.at(0).version, 1); // so the store refuses it
+            EXPECT_EQ(lost.checks.at(0).version, 1); // so the store rejects it
             auto& loser = isFirst ? ofW : ofA;
             loser.handle(commit_done { lost.operationId, commit_status::conflict, 0 }, at(10));
             loser.handle(row_read { "w", rows["w"] }, at(10));
@@ -195,24 +196,24 @@
         }
     }
 
-    // Guards against a mark that is written over newer rows than those the inquiry was begun on: by an instance that is
-    // marked itself, or back from fenced to fencing.
-    TEST(Takeover, DecidesAnewOnNewsDuringTheInquiry)
+    // Guards against a change to fencing that is based on outdated rows, because a newer row arrived during the
+    // inquiry: by an instance that is fencing itself, or back from fenced to fencing.
+    TEST(Takeover, DecidesAgainOnNewRowsDuringTheInquiry)
     {
         auto fenced = makeMember("h", "a", 3, member_state::fenced, { self, a, b });
         fenced.fencedBy = "a";
-        for (const auto& news : { makeMember("w", "a", 1, member_state::fencing), fenced }) {
+        for (const auto& newer : { makeMember("w", "a", 1, member_state::fencing), fenced }) {
             fixture test;
             test.start();
-            test.put(news);
-            test.feed(member_seen { test.rows[news.self.id] });
+            test.put(newer);
+            test.feed(member_seen { test.rows[newer.self.id] });
             test.reportSilence(a, 5000);
             EXPECT_EQ(test.machine.stage(), takeover_stage::finished);
             EXPECT_TRUE(test.all<commit_row>().empty());
         }
     }
 
-    // Guards against promises collected for a mark that was never written.
+    // Guards against collecting promises before the row is fencing, after the answer to the write was lost.
     TEST(Takeover, ReadsBackALostAnswer)
     {
         fixture test;
@@ -229,14 +230,14 @@
         EXPECT_EQ(test.all<promise_request>().size(), 3u);
     }
 
-    // Guards against a mark that freezes another set than the one whose silence or promises count.
-    TEST(Takeover, StartsAnewWhenTheSetChanges)
+    // Guards against counting silence or promises of another witness set than the one in the fencing row.
+    TEST(Takeover, RestartsWhenTheSetChanges)
     {
         fixture test;
         test.start();
         test.holder().witnesses = { self, { "c", 1 }, { "d", 1 } };
         ++test.rows["h"].version;
-        test.reportSilence(a, 5000); // marks with the old version, conflicts, reads the new set
+        test.reportSilence(a, 5000); // the write with the old version conflicts, so the new set is read
         EXPECT_EQ(test.holder().state, member_state::active);
         test.reportSilence({ "c", 1 }, 5000);
         test.promise(a, 0);
@@ -248,7 +249,7 @@
         EXPECT_EQ(test.holder().state, member_state::fenced);
     }
 
-    // Guards against hazard (e): a restarted witness gave grants before its end that may still run.
+    // Guards against hazard (e) of docs/ownership.md: grants of a restarted witness's predecessor may not have expired.
     TEST(Takeover, CountsARestartedWitnessAfterAFullGrant)
     {
         fixture test;
@@ -258,7 +259,7 @@
         auto restarted = makeMember("b", "b", 2);
         test.put(restarted);
         test.ms = 1000;
-        test.feed(promise_refusal { holderRef, { "b", 2 } }); // at an unknown address: no proof
+        test.feed(promise_refusal { holderRef, { "b", 2 } }); // no proof, since the address is unknown
         test.advance(4000);
         EXPECT_EQ(test.holder().state, member_state::fencing);
         restarted.self.number = 3;
@@ -270,7 +271,7 @@
         EXPECT_EQ(test.holder().state, member_state::fenced);
     }
 
-    // Guards against a takeover that stays stuck silently, and against one that an operator cannot complete.
+    // Guards against a takeover that is blocked without a report, and against one that an operator cannot complete.
     TEST(Takeover, IsBlockedWithoutAMajorityUntilDeclaredLost)
     {
         for (const bool isMarked : { true, false }) {
@@ -298,7 +299,7 @@
         EXPECT_EQ(unbounded.holder().state, member_state::fenced);
     }
 
-    TEST(Takeover, RetriesAStoreOutageWithGrowingPauses)
+    TEST(Takeover, RetriesAStoreOutageWithBackoff)
     {
         takeover machine({ self, holderRef, false, "op", 1 }, settings);
         machine.start();
@@ -307,9 +308,9 @@
             const auto waits = machine.handle(read_failed { "h" }, now);
             EXPECT_TRUE(machine.handle(read_failed { "w" }, now).empty());
             const auto due = std::get<start_timer>(waits.at(0)).at;
-            const auto longest = std::min<duration>(settings.retryFirst * (1 << i), settings.retryMost);
-            EXPECT_GE(due - now, longest / 2);
-            EXPECT_LE(due - now, longest);
+            const auto maxDelay = std::min<duration>(settings.initialRetryDelay * (1 << i), settings.maxRetryDelay);
+            EXPECT_GE(due - now, maxDelay / 2);
+            EXPECT_LE(due - now, maxDelay);
             now = due;
             EXPECT_EQ(machine.handle(timer_due {}, now).size(), 2u);
         }
--- a/src/lease/tests/witness_test.cpp
+++ b/src/lease/tests/witness_test.cpp
@@ -32,8 +32,8 @@
         return makeMember("h", "a", number, state, std::move(witnesses));
     }
 
-    // Guards against a grant that breaks a promise, and against a final refusal of a holder that may go on.
-    TEST(Witness, GrantsOnlyWhatItMay)
+    // Guards against a grant after a promise, and against a final refusal of a holder that may continue.
+    TEST(Witness, GrantsOnlyPermittedRenewals)
     {
         struct {
             std::function<void(witness&)> before;
@@ -80,7 +80,7 @@
         }
     }
 
-    // Guards against a promise that frees the holder's keys before its last grant has ended.
+    // Guards against a promise that releases the holder's keys before its last grant has expired.
     TEST(Witness, PromisesWithTheRemainingTime)
     {
         witness asked(self, settings, at(0));
@@ -89,12 +89,12 @@
             return std::get<lease_promise>(asked.answer(promise_request { { "h", 3 }, self }, at(ms))).remaining;
         };
         EXPECT_EQ(remaining(1400), std::chrono::milliseconds(1130));
-        asked.answer(renewalOf(3), at(1500)); // refused, so it adds nothing
+        asked.answer(renewalOf(3), at(1500)); // refused, so it does not extend the grant
         EXPECT_EQ(remaining(1600), std::chrono::milliseconds(930));
         EXPECT_EQ(remaining(9000), duration(0));
     }
 
-    TEST(Witness, ForgetsRecordsButNoPromise)
+    TEST(Witness, EvictsRecordsButNoPromise)
     {
         witness asked(self, settings, at(0));
         for (int i = 0; i < 100; ++i)
@@ -108,7 +108,7 @@
         EXPECT_EQ(answerTo(asked, renewalOf(3), 4000), "superseded");
     }
 
-    // Runs the witness from 0 ms, asking every 100 ms; returns when the takeover is first due, -1 if never in 5 s.
+    // Polls the witness every 100 ms from 0 ms on; returns when the takeover is first due, or -1 if not within 5 s.
     int dueAfter(const member_row& row, const std::vector<int>& renewals, std::pair<int, int> pause = { 0, 0 })
     {
         witness asked(self, settings, at(0));
@@ -125,8 +125,8 @@
         return -1;
     }
 
-    // Guards against takeovers that start together, too early, or because the witness itself was paused.
-    TEST(Witness, CallsForTakeoverByRankAfterSilence)
+    // Guards against takeovers that start at the same time, too early, or because the witness itself was paused.
+    TEST(Witness, TakeoverIsDueByRankAfterSilence)
     {
         const instance_ref a { "a", 1 };
         const instance_ref b { "b", 1 };
@@ -138,11 +138,11 @@
         EXPECT_EQ(dueAfter(holderRow(3, active, { a, b }), { 0 }), -1);
         EXPECT_EQ(dueAfter(holderRow(3, member_state::left, { self }), { 0 }), -1);
         EXPECT_EQ(dueAfter(holderRow(3, active, { self, a, b }), { 0 }, { 500, 4000 }), 5000);
-        // Hazard (h): a row stays fencing, whether the holder is heard or not.
+        // Hazard (h) of docs/ownership.md: a row stays fencing although renewals of the holder arrive.
         EXPECT_EQ(dueAfter(holderRow(3, member_state::fencing, { self, a, b }), { 0, 500, 1000 }), 1000);
     }
 
-    TEST(Witness, ReportsSilenceAndStopsCallingWhenFinished)
+    TEST(Witness, ReportsSilenceAndNoTakeoverWhenFinished)
     {
         witness asked(self, settings, at(0));
         asked.answer(renewalOf(3), at(100));
@@ -168,7 +168,8 @@
         return members;
     }
 
-    // Guards against witness sets that are even, too large, or lost with one zone although the members allow better.
+    // Guards against witness sets that have an even size, are too large, or lose their majority with one zone although
+    // the members allow a better set.
     TEST(WitnessSelection, SizeAndSpreadFollowTheMembers)
     {
         struct {
@@ -203,7 +204,7 @@
     }
 
     // Guards against a single join or leave that changes the witnesses of many instances, and against instances that
-    // witness many times their share. 345 instances are one region of the design target.
+    // are witnesses of far more instances than the average. 345 instances are one region of the design target.
     TEST(WitnessSelection, IsStableAndEven)
     {
         const auto members = membersIn({ 87, 86, 86, 86 });
@@ -222,15 +223,15 @@
             EXPECT_LE(lost, 1);
             changed += lost != 0;
         }
-        int most = 0;
+        int maxLoad = 0;
         for (const auto& [witness, count] : load)
-            most = std::max(most, count);
+            maxLoad = std::max(maxLoad, count);
         EXPECT_LE(changed, 15); // 5 expected
-        EXPECT_LE(most, 15); // 5 on average
-        std::cout << "changed " << changed << ", most " << most << std::endl;
+        EXPECT_LE(maxLoad, 15); // 5 on average
+        std::cout << "changed " << changed << ", maximum load " << maxLoad << std::endl;
     }
 
-    // Guards against taking a process for terminated that may still run at another address.
+    // Guards against treating a process as terminated that may still run at another address.
     TEST(Succession, OnlyTheSameAddressProvesTermination)
     {
         auto first = makeMember("h");
--- a/src/lease/witness_change.h
+++ b/src/lease/witness_change.h
@@ -13,13 +13,13 @@
 
 struct change_result {
     change_outcome outcome = change_outcome::not_applied;
-    versioned_member row; ///< As last written or read. If it is fenced or superseded, the lease has ended.
+    versioned_member row; ///< Last written or read. If it is fenced or superseded, the lease has ended.
 
     bool operator==(const change_result&) const = default;
 };
 
-/// Writes a new witness set into the holder's row and finds out whether it took effect. Pure. Used between
-/// lease_holder::beginWitnessChange() and settleWitnessChange().
+/// State machine that writes a new witness set to the holder's row and determines whether the write took effect. Does
+/// no input or output. Used between lease_holder::beginWitnessChange() and settleWitnessChange().
 class witness_change {
 public:
     /// `current` is the row that was passed to beginWitnessChange().
@@ -28,7 +28,7 @@
 
     std::vector<change_action> start();
     std::vector<change_action> handle(const change_input&, time_point now);
-    /// Empty while the outcome is unknown, however long that is.
+    /// Empty until the outcome is certain; there is no timeout.
     const std::optional<change_result>& result() const { return m_result; }
 
 private:
