--- a/src/mesh/forward_protocol.h
+++ b/src/mesh/forward_protocol.h
@@ -11,9 +11,9 @@
 
 namespace heatherdrift {
 
-/// A caller's request on its way to a gate.
+/// A caller's request as an entry node forwards it to a gate.
 struct routed_request {
-    http_request message; ///< As the caller sent it, without headers that concern one connection.
+    http_request message; ///< As the caller sent it, without hop-by-hop headers.
     std::string id;
     std::string route;
     std::string service;
@@ -21,51 +21,52 @@
     time_point objective {};
     time_point deadline {};
     int priority = 0;
-    bool isFromOwnHost = false; ///< Sent from the instance of the entry node, as nested requests are.
+    bool isFromOwnHost = false; ///< Sent from the entry node's instance, as nested requests of its backend server are.
     bool isIdempotent = false;
     std::optional<key_number> key;
 };
 
-/// What a node knows of a table of the store that all nodes follow.
+/// Version and freshness of a node's copy of a store table.
 struct table_statement {
     row_version newestChange = 0;
-    duration age {}; ///< The known rows were those in the store so long ago.
+    duration age {}; ///< Time since the copy was last known to match the store.
 
     bool operator==(const table_statement&) const = default;
 };
 
-struct known_tables {
+struct table_statements {
     table_statement configuration;
     table_statement members;
 
-    bool operator==(const known_tables&) const = default;
+    bool operator==(const table_statements&) const = default;
 };
 
-/// What a gate tells of itself with each answer.
+/// Load and state of a gate, sent with each of its responses.
 struct gate_load {
     life_name life;
     double load = 0; ///< Share of the slots in use or waited for.
-    double demand = 0; ///< Slots that the requests for its keys need by their rate and service time, per slot.
-    std::int64_t mapVersion = 0; ///< Of the range map that the gate knows.
+    double demand
+        = 0; ///< Slots needed for the requests to its keys (arrival rate times service time), divided by the slots.
+    std::int64_t mapVersion = 0; ///< Version of the gate's range map; 0 if it has none.
     bool isDraining = false;
-    std::optional<known_tables> tables; ///< Empty before the node has read them.
+    std::optional<table_statements> tables; ///< Empty until the node has read the tables.
 
     bool operator==(const gate_load&) const = default;
 };
 
-/// What became of a request at a gate.
+/// Result of a request at a gate.
 struct gate_answer {
     verdict outcome = verdict::not_run;
-    error_code reason = error_code::internal; ///< Unless the backend server answered.
-    bool reachedBackend = false; ///< The backend server got the request, whether it ran it or not.
-    http_response response; ///< Of the backend server, if it answered.
-    duration retryAfter {}; ///< Expected time until there is room, for a refusal.
+    error_code reason = error_code::internal; ///< Valid unless the backend server answered.
+    bool reachedBackend = false; ///< The backend server received the request, whether it ran it or not.
+    http_response response; ///< Response of the backend server, if it answered.
+    duration retryAfter {}; ///< For a refusal: expected time until a slot is free.
     gate_load load;
 };
 
-/// Header of requests between nodes: the node that is meant. Another one may have its address by now.
+/// Header of requests between nodes with the intended node, since its address may since belong to another node.
 constexpr const char* targetNodeHeader = "heatherdrift-target";
-/// Status by which a node says that it is not the one that is meant.
+/// Status of a response by a node that is not the intended one.
 constexpr int statusOtherNode = 421;
 
 http_request encodeForward(const routed_request&, time_point now);
--- a/src/mesh/internal/announcement_service.cpp
+++ b/src/mesh/internal/announcement_service.cpp
@@ -8,9 +8,10 @@
 
     constexpr int statusOk = 200;
     constexpr int statusBadRequest = 400;
-    /// A heartbeat has to be answered within a second; keys that are granted with its answer need no further one.
-    constexpr auto mostAnswerDelay = std::chrono::milliseconds(500);
-    /// Way of a request from the gate to the backend server at the end of the drain time.
+    /// A heartbeat has to be answered within a second. Delaying the response lets it carry grants that would otherwise
+    /// have to wait for the next heartbeat.
+    constexpr auto maxAnswerDelay = std::chrono::milliseconds(500);
+    /// Time for a request sent at the end of the drain time to reach the backend server.
     constexpr auto drainMargin = std::chrono::milliseconds(100);
 
 } // namespace
@@ -23,7 +24,7 @@
     , m_ownership(ownership)
     , m_isPartitioned(std::move(isPartitioned))
     , m_onChanged(std::move(onChanged))
-    , m_answerHeld(base, [this] { answerHeld(); })
+    , m_deferredAnswerTimer(base, [this] { answerDeferred(); })
 {
 }
 
@@ -45,7 +46,7 @@
     m_ownership.startDrain();
 }
 
-void announcement_service::adopt(const backend_announcement& announcement)
+void announcement_service::updateCurrent(const backend_announcement& announcement)
 {
     const bool isNewLife = !m_current || m_current->life() != announcement.life();
     if (isNewLife) {
@@ -76,7 +77,9 @@
         || decoded.value().address != m_settings.backend) {
         logEvent(log_event::announcement_rejected,
             { { "target", request.target },
-                { "reason", decoded.has_error() ? decoded.error().message : "another service or address" } });
+                { "reason",
+                    decoded.has_error() ? decoded.error().message
+                                        : "service or address differs from the settings of this node" } });
         return exchange->respond({ { statusBadRequest, {} }, "" });
     }
     const auto& announcement = decoded.value();
@@ -86,44 +89,44 @@
                 { "taken", std::to_string(m_current->sequence) } });
         return exchange->respond(m_port.encodeGrant({}));
     }
-    answerHeld();
-    adopt(announcement);
+    answerDeferred();
+    updateCurrent(announcement);
     m_onChanged();
-    // The life counts also before the configuration tells that the service is partitioned.
+    // The life is recorded even before the configuration shows that the service is partitioned.
     m_ownership.report(announcement);
     if (!m_isPartitioned())
         return exchange->respond(m_port.encodeGrant({}));
-    m_held = std::move(exchange);
-    m_heldSince = now;
-    if (m_ownership.awaitsGrant())
-        m_answerHeld.startOnce(mostAnswerDelay);
+    m_deferredExchange = std::move(exchange);
+    m_deferredSince = now;
+    if (m_ownership.isAwaitingGrant())
+        m_deferredAnswerTimer.startOnce(maxAnswerDelay);
     else
-        answerHeld();
+        answerDeferred();
 }
 
-void announcement_service::ownershipChanged()
+void announcement_service::onOwnershipChanged()
 {
-    if (m_held && !m_ownership.awaitsGrant())
-        answerHeld();
+    if (m_deferredExchange && !m_ownership.isAwaitingGrant())
+        answerDeferred();
 }
 
-void announcement_service::answerHeld()
+void announcement_service::answerDeferred()
 {
-    if (!m_held || std::exchange(m_isAnswering, true))
+    if (!m_deferredExchange || std::exchange(m_isAnswering, true))
         return;
-    m_answerHeld.stop();
-    const auto exchange = std::exchange(m_held, nullptr);
-    exchange->respond(m_port.encodeGrant(m_ownership.grant(m_heldSince)));
+    m_deferredAnswerTimer.stop();
+    const auto exchange = std::exchange(m_deferredExchange, nullptr);
+    exchange->respond(m_port.encodeGrant(m_ownership.grant(m_deferredSince)));
     m_isAnswering = false;
 }
 
-void announcement_service::backendRefused()
+void announcement_service::onBackendRefused()
 {
     if (!m_current || std::exchange(m_hasEnded, true))
         return;
     logEvent(log_event::backend_lost, { { "backend_server", m_current->id } });
     m_gate.setBackend({});
-    m_ownership.backendEnded(m_current->life());
+    m_ownership.onBackendEnded(m_current->life());
     m_onChanged();
 }
 
--- a/src/mesh/internal/announcement_service.h
+++ b/src/mesh/internal/announcement_service.h
@@ -8,28 +8,28 @@
 
 namespace heatherdrift {
 
-/// Takes the heartbeats of the backend server beside this node and its notice that it leaves.
+/// Handles the heartbeats of the backend server beside this node and its shutdown notice.
 class announcement_service {
 public:
     announcement_service(event_base*, const mesh_settings&, const platform_port&, gate_service&, ownership&,
         std::function<bool()> isPartitioned, std::function<void()> onChanged);
 
     void handle(http_exchange_ptr);
-    /// Keys may be granted or taken away now.
-    void ownershipChanged();
-    /// Nothing listens at the backend server's address any more.
-    void backendRefused();
+    /// Called when the granted keys or the range map may have changed.
+    void onOwnershipChanged();
+    /// Called when a connection to the backend server was refused, so that its process has ended.
+    void onBackendRefused();
 
     const std::optional<backend_announcement>& current() const { return m_current; }
     bool isLeaving() const { return m_isLeaving; }
-    /// Whether the backend server has ended for certain.
+    /// Whether the process of the backend server is certain to have ended.
     bool hasEnded() const { return m_hasEnded; }
 
 private:
     bool isOlder(const backend_announcement&) const;
-    void adopt(const backend_announcement&);
+    void updateCurrent(const backend_announcement&);
     void startLeaving();
-    void answerHeld();
+    void answerDeferred();
 
     const mesh_settings& m_settings;
     const platform_port& m_port;
@@ -40,9 +40,9 @@
     std::optional<backend_announcement> m_current;
     bool m_isLeaving = false;
     bool m_hasEnded = false;
-    http_exchange_ptr m_held; ///< Heartbeat whose answer waits for keys that are about to be granted.
-    time_point m_heldSince {};
-    timer m_answerHeld;
+    http_exchange_ptr m_deferredExchange; ///< Heartbeat whose response is delayed until imminent grants are made.
+    time_point m_deferredSince {};
+    timer m_deferredAnswerTimer;
     bool m_isAnswering = false;
 };
 
--- a/src/mesh/internal/answer_sender.h
+++ b/src/mesh/internal/answer_sender.h
@@ -8,19 +8,19 @@
 
 namespace heatherdrift {
 
-/// Writes the gate's answers to the other nodes, large ones at the speed of the instance's link.
+/// Sends the gate's responses to other nodes; large ones are paced to the bandwidth of the instance's link.
 class answer_sender {
 public:
     answer_sender(event_base*, double linkBytesPerSecond);
 
-    /// A request of this kind came from another node; answers are sent or dropped by the returned number.
+    /// Registers a request of this kind from another node. Its response is sent or dropped by the returned number.
     request_number expect(const std::string& kind);
-    /// Time until the answer to a request of this kind would have crossed the link.
+    /// Expected time until the response to a request of this kind has been transmitted over the link.
     duration deliveryTime(const std::string& kind) const;
-    /// Answers of this kind have this size.
-    void learn(const std::string& kind, std::size_t bytes) { m_queue.learn(kind, bytes); }
+    /// Records the size of a response of this kind.
+    void recordSize(const std::string& kind, std::size_t bytes) { m_queue.learn(kind, bytes); }
     void send(request_number, const http_exchange_ptr&, http_response);
-    /// The other node does not wait any more.
+    /// Discards the response because the other node no longer waits for it.
     void drop(request_number);
 
 private:
--- a/src/mesh/internal/entry_call.cpp
+++ b/src/mesh/internal/entry_call.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-    constexpr std::size_t answerLimitBytes = 32u << 20; ///< Answers are passed on whole; this bounds their memory.
-    /// A gate answers at the deadline itself; after this time its node is taken for silent.
+    constexpr std::size_t answerLimitBytes = 32u << 20; ///< Responses are buffered whole; this bounds their memory.
+    /// A gate responds at the deadline at the latest; this much later its node counts as unresponsive.
     constexpr auto gateSlack = std::chrono::milliseconds(100);
-    constexpr int mostRefusals = 4; ///< Gates that are asked before the caller is told to come back.
+    constexpr int maxRefusals = 4; ///< Refusals by gates before the caller gets a Retry-After response.
     constexpr auto retryInterval = std::chrono::milliseconds(60); ///< While an owner's node restarts or keys move.
-    /// A node answers with its range map within milliseconds; one that does not is asked no longer.
-    constexpr auto mapPatience = std::chrono::milliseconds(300);
-    constexpr auto mapInterval = std::chrono::milliseconds(5);
-    constexpr auto leastTimeForRetry = std::chrono::milliseconds(20);
-    constexpr auto leastRetryAfter = std::chrono::milliseconds(20);
+    /// A node returns its range map within milliseconds; later responses are not awaited.
+    constexpr auto mapWaitTimeout = std::chrono::milliseconds(300);
+    constexpr auto mapPollInterval = std::chrono::milliseconds(5);
+    constexpr auto minTimeForRetry = std::chrono::milliseconds(20);
+    constexpr auto minRetryAfter = std::chrono::milliseconds(20);
     constexpr auto retryAfterNoServer = std::chrono::milliseconds(300);
     constexpr int statusBadGateway = 502;
     constexpr int statusUnavailable = 503;
@@ -39,12 +39,12 @@
 
 } // namespace
 
-entry_call::entry_call(entry_service& owner, http_exchange_ptr exchange, routed_request request, const route& route)
-    : m_owner(owner)
-    , m_context(owner.m_context)
+entry_call::entry_call(entry_service& service, http_exchange_ptr exchange, routed_request request, const route& route)
+    : m_service(service)
+    , m_context(service.m_context)
     , m_exchange(std::move(exchange))
     , m_request(std::move(request))
-    , m_mostAttempts(std::max(1, route.mostAttempts))
+    , m_maxAttempts(std::max(1, route.mostAttempts))
     , m_receivedAt(boot_clock::now())
     , m_retry(m_context.base, [this] { sendNext(); })
 {
@@ -65,7 +65,7 @@
     if (!map)
         return std::nullopt;
     const auto& range = map->find(*m_request.key);
-    // An earlier owner serves the keys until it has released them.
+    // A previous owner serves the keys until it has released them.
     std::vector<life_name> lives = range.releasing;
     lives.push_back(range.owner);
     for (const auto& life : lives) {
@@ -91,14 +91,14 @@
     if (m_isDone)
         return;
     const auto now = boot_clock::now();
-    if (now + leastTimeForRetry >= m_request.deadline) {
+    if (now + minTimeForRetry >= m_request.deadline) {
         if (m_lastAnswer)
             return fail(*m_lastAnswer);
         return refuse(retryAfterNoServer);
     }
-    // Right after a start, the first request for a key asks another node for the range map.
-    if (m_request.key && !m_context.map(m_request.service) && now < m_receivedAt + mapPatience)
-        return retryLater(mapInterval);
+    // After a start, the first request for a key triggers the fetch of the range map from another node.
+    if (m_request.key && !m_context.map(m_request.service) && now < m_receivedAt + mapWaitTimeout)
+        return scheduleRetry(mapPollInterval);
     const auto target = m_request.key ? pickOwner(now) : pickAny(now);
     if (target)
         return sendTo(*target);
@@ -117,7 +117,7 @@
     if (node == m_context.settings.node) {
         const auto id = m_context.gate.execute(m_request, [weak](gate_answer answer) {
             if (const auto self = weak.lock())
-                self->finished(std::move(answer));
+                self->handleAnswer(std::move(answer));
         });
         if (m_attempt && m_attempt->node == node && m_attempt->startedAt == now)
             m_attempt->local = id;
@@ -128,30 +128,30 @@
     m_attempt->remote = fetch(m_context.directory.client(node), std::move(message), m_request.deadline + gateSlack,
         answerLimitBytes, [weak](result<http_response> response) {
             if (const auto self = weak.lock())
-                self->answered(std::move(response));
+                self->handleResponse(std::move(response));
         });
 }
 
-void entry_call::answered(result<http_response> response)
+void entry_call::handleResponse(result<http_response> response)
 {
     const auto now = boot_clock::now();
     if (response.has_error()) {
-        m_context.directory.failed(m_attempt->node, response.error().code, now);
-        // Whether the whole machine is silent is known after one more question.
+        m_context.directory.recordFailure(m_attempt->node, response.error().code, now);
+        // A second probe distinguishes a lost instance from a single lost packet.
         if (response.error().code == error_code::unreachable)
             m_context.probe(m_attempt->node);
         gate_answer answer;
         answer.outcome = response.error().outcome;
         answer.reason = response.error().code;
         answer.reachedBackend = answer.outcome != verdict::not_run;
-        return finished(std::move(answer));
+        return handleAnswer(std::move(answer));
     }
     if (response.value().head.status == statusOtherNode
         && !response.value().head.headers.find("heatherdrift-verdict")) {
-        m_context.nodeReplaced(instance_id(m_attempt->node));
+        m_context.onNodeReplaced(instance_id(m_attempt->node));
         gate_answer answer;
         answer.reason = error_code::not_found;
-        return finished(std::move(answer));
+        return handleAnswer(std::move(answer));
     }
     auto answer = decodeAnswer(std::move(response).value());
     if (answer.has_error()) {
@@ -159,13 +159,13 @@
         lost.outcome = answer.error().outcome;
         lost.reason = answer.error().code;
         lost.reachedBackend = true;
-        return finished(std::move(lost));
+        return handleAnswer(std::move(lost));
     }
-    m_context.directory.answered(m_attempt->node, answer.value().load, now);
-    m_context.noticeMap(m_request.service, m_attempt->node, answer.value().load.mapVersion);
+    m_context.directory.recordAnswer(m_attempt->node, answer.value().load, now);
+    m_context.onMapVersion(m_request.service, m_attempt->node, answer.value().load.mapVersion);
     if (const auto& tables = answer.value().load.tables)
-        m_context.noticeTables(m_attempt->node, *tables, m_attempt->startedAt);
-    finished(std::move(answer).value());
+        m_context.onTableStatements(m_attempt->node, *tables, m_attempt->startedAt);
+    handleAnswer(std::move(answer).value());
 }
 
 void entry_call::observe(const gate_answer& answer, time_point now)
@@ -184,57 +184,57 @@
     m_context.directory.view(m_request.service).finished(m_attempt->node, seen, now);
 }
 
-bool entry_call::mayRepeat(const gate_answer& answer, time_point now)
+bool entry_call::shouldRetry(const gate_answer& answer, time_point now)
 {
-    if (now + leastTimeForRetry >= m_request.deadline)
+    if (now + minTimeForRetry >= m_request.deadline)
         return false;
     if (answer.outcome == verdict::not_run && !answer.reachedBackend) {
-        // The owner of a key is the only one that could run the request.
+        // Only the owner of a key can run the request, so its overload refusal is final.
         const bool isFinal = m_request.key && answer.reason == error_code::overloaded;
-        return !isFinal && m_refusals < mostRefusals;
+        return !isFinal && m_refusals < maxRefusals;
     }
     if (answer.outcome != verdict::not_run && !m_request.isIdempotent)
         return false;
-    return m_arrivals < m_mostAttempts && m_owner.budget(m_request.service).tryRetry(now);
+    return m_backendAttempts < m_maxAttempts && m_service.budget(m_request.service).tryRetry(now);
 }
 
-void entry_call::finished(gate_answer answer)
+void entry_call::handleAnswer(gate_answer answer)
 {
     if (m_isDone)
         return;
     const auto now = boot_clock::now();
     observe(answer, now);
     const auto node = m_attempt->node;
-    m_trail.append(m_trail.empty() ? "" : " ").append(node).append(":");
+    m_attemptLog.append(m_attemptLog.empty() ? "" : " ").append(node).append(":");
     if (answer.outcome == verdict::ran)
-        m_trail.append(std::to_string(answer.response.head.status));
+        m_attemptLog.append(std::to_string(answer.response.head.status));
     else
-        m_trail.append(toString(answer.outcome)).append("/").append(toString(answer.reason));
-    m_trail.append(":").append(milliseconds(now - m_attempt->startedAt));
+        m_attemptLog.append(toString(answer.outcome)).append("/").append(toString(answer.reason));
+    m_attemptLog.append(":").append(milliseconds(now - m_attempt->startedAt));
     m_attempt.reset();
     if (answer.reachedBackend)
-        ++m_arrivals;
+        ++m_backendAttempts;
     else
         ++m_refusals;
     m_mayHaveRun = m_mayHaveRun || answer.outcome != verdict::not_run;
     if (node == m_context.settings.node)
-        m_context.directory.answered(node, answer.load, now);
-    // A failure of the only server that owns the key comes again; any other one may be the server's own.
-    const bool mayHelp = isServerFailure(answer) && m_request.isIdempotent && !m_request.key;
-    if (answer.outcome == verdict::ran && !mayHelp)
+        m_context.directory.recordAnswer(node, answer.load, now);
+    // A retry for a key would go to the same owner and fail again; without a key another server may succeed.
+    const bool isRetryUseful = isServerFailure(answer) && m_request.isIdempotent && !m_request.key;
+    if (answer.outcome == verdict::ran && !isRetryUseful)
         return respond(std::move(answer.response));
     if (answer.outcome == verdict::ran)
         m_serverFailure = answer;
-    const bool isRepeated = mayRepeat(answer, now);
+    const bool isRetried = shouldRetry(answer, now);
     m_lastAnswer = std::move(answer);
     m_tried.push_back(node);
-    if (!isRepeated)
+    if (!isRetried)
         return fail(*m_lastAnswer);
-    const bool waits = m_request.key && m_lastAnswer->outcome == verdict::not_run;
-    retryLater(waits && m_refusals > 1 ? duration(retryInterval) : duration());
+    const bool needsDelay = m_request.key && m_lastAnswer->outcome == verdict::not_run;
+    scheduleRetry(needsDelay && m_refusals > 1 ? duration(retryInterval) : duration());
 }
 
-void entry_call::retryLater(duration delay) { m_retry.startOnce(delay); }
+void entry_call::scheduleRetry(duration delay) { m_retry.startOnce(delay); }
 
 void entry_call::count(std::string_view outcome) const
 {
@@ -264,7 +264,7 @@
 {
     logEnd(log_event::request_refused, m_lastAnswer ? toString(m_lastAnswer->reason) : "no_backend_server");
     http_response response { { statusUnavailable, {} }, "" };
-    m_context.port.addRetryAfter(response.head, m_owner.spread(std::max<duration>(retryAfter, leastRetryAfter)));
+    m_context.port.addRetryAfter(response.head, m_service.withJitter(std::max<duration>(retryAfter, minRetryAfter)));
     respond(std::move(response));
 }
 
@@ -293,7 +293,7 @@
     logEvent(event,
         { { "request", m_request.id }, { "reason", std::string(reason) }, { "route", m_request.route },
             { "service", m_request.service }, { "key", m_request.key ? std::to_string(*m_request.key) : "" },
-            { "attempts", m_trail }, { "age_ms", milliseconds(now - m_receivedAt) },
+            { "attempts", m_attemptLog }, { "age_ms", milliseconds(now - m_receivedAt) },
             { "left_ms", milliseconds(m_request.deadline - now) },
             { "configuration", std::to_string(m_context.routes.version()) } });
 }
@@ -302,7 +302,7 @@
 {
     m_isDone = true;
     m_retry.stop();
-    m_owner.m_calls.erase(shared_from_this());
+    m_service.m_calls.erase(shared_from_this());
 }
 
 } // namespace heatherdrift
--- a/src/mesh/internal/entry_call.h
+++ b/src/mesh/internal/entry_call.h
@@ -5,7 +5,7 @@
 
 namespace heatherdrift {
 
-/// One request of a caller, from its arrival to its answer.
+/// One request of a caller, from its arrival to its response, including all attempts.
 class entry_call : public std::enable_shared_from_this<entry_call> {
 public:
     entry_call(entry_service&, http_exchange_ptr, routed_request, const route&);
@@ -13,7 +13,7 @@
     void begin();
 
 private:
-    /// Where the request is now.
+    /// The attempt in progress.
     struct attempt {
         instance_id node;
         http_call_ptr remote;
@@ -25,11 +25,11 @@
     std::optional<instance_id> pickAny(time_point now);
     void sendNext();
     void sendTo(const instance_id&);
-    void answered(result<http_response>);
-    void finished(gate_answer);
+    void handleResponse(result<http_response>);
+    void handleAnswer(gate_answer);
     void observe(const gate_answer&, time_point now);
-    bool mayRepeat(const gate_answer&, time_point now);
-    void retryLater(duration);
+    bool shouldRetry(const gate_answer&, time_point now);
+    void scheduleRetry(duration);
     void respond(http_response);
     void fail(const gate_answer&);
     void refuse(duration retryAfter);
@@ -38,19 +38,19 @@
     void count(std::string_view outcome) const;
     void logEnd(log_event, std::string_view reason) const;
 
-    entry_service& m_owner;
+    entry_service& m_service;
     entry_context& m_context;
     http_exchange_ptr m_exchange;
     routed_request m_request;
-    int m_mostAttempts;
-    int m_arrivals = 0; ///< Backend servers that got the request.
-    int m_refusals = 0; ///< Gates that did not take it.
+    int m_maxAttempts;
+    int m_backendAttempts = 0; ///< Attempts that reached a backend server.
+    int m_refusals = 0; ///< Attempts that a gate refused or that did not reach a gate.
     std::vector<instance_id> m_tried;
     std::optional<attempt> m_attempt;
-    std::string m_trail; ///< Ended attempts for the log: node, result and milliseconds of each.
+    std::string m_attemptLog; ///< Completed attempts for the log: node, result and milliseconds of each.
     time_point m_receivedAt;
     std::optional<gate_answer> m_lastAnswer;
-    std::optional<gate_answer> m_serverFailure; ///< A backend server's own answer, unless a repetition does better.
+    std::optional<gate_answer> m_serverFailure; ///< Error response of a backend server; returned if no retry succeeds.
     timer m_retry;
     bool m_mayHaveRun = false; ///< An attempt ended without proof that the request did not run.
     bool m_isDone = false;
--- a/src/mesh/internal/entry_service.cpp
+++ b/src/mesh/internal/entry_service.cpp
@@ -10,14 +10,15 @@
     constexpr int statusNotFound = 404;
     constexpr int statusBadRequest = 400;
     constexpr int statusUnavailable = 503;
-    constexpr auto retryAfterStart = std::chrono::milliseconds(300); ///< A configuration is read within this time.
+    constexpr auto retryAfterStart
+        = std::chrono::milliseconds(300); ///< A starting node has read its configuration after this time.
     constexpr auto retryAfterStop
-        = std::chrono::milliseconds(100); ///< Another node takes the caller's next connection.
-    constexpr double returnSpread = 0.6; ///< Of the time that refused callers are told.
-    constexpr auto defaultTimeout = std::chrono::seconds(60); ///< Of requests without a deadline.
-    /// The answer needs this time to reach a caller that stops to wait at its deadline.
+        = std::chrono::milliseconds(100); ///< The caller's next connection goes to another node.
+    constexpr double retryAfterJitter = 0.6; ///< Width of the jitter, as a share of the Retry-After time.
+    constexpr auto defaultTimeout = std::chrono::seconds(60); ///< For requests without a deadline.
+    /// Time for the response to reach the caller before the caller's own deadline.
     constexpr auto answerMargin = std::chrono::milliseconds(8);
-    /// Of the retries that the settings allow to all nodes; the rest covers nested calls of repeated requests.
+    /// Share of the configured retry ratio that this node uses; the rest covers nested calls of retried requests.
     constexpr double retryBudgetShare = 0.75;
 
     http_headers endToEndHeaders(const http_headers& headers)
@@ -41,9 +42,9 @@
 
 entry_service::~entry_service() = default;
 
-duration entry_service::spread(duration delay)
+duration entry_service::withJitter(duration delay)
 {
-    return std::chrono::duration_cast<duration>(delay * (1 - returnSpread / 2 + returnSpread * m_random()));
+    return std::chrono::duration_cast<duration>(delay * (1 - retryAfterJitter / 2 + retryAfterJitter * m_random()));
 }
 
 retry_budget& entry_service::budget(const std::string& service)
@@ -61,7 +62,7 @@
 void entry_service::refuse(const http_exchange_ptr& exchange, duration retryAfter)
 {
     http_response response { { statusUnavailable, {} }, "" };
-    m_context.port.addRetryAfter(response.head, spread(retryAfter));
+    m_context.port.addRetryAfter(response.head, withJitter(retryAfter));
     exchange->respond(std::move(response));
 }
 
--- a/src/mesh/internal/entry_service.h
+++ b/src/mesh/internal/entry_service.h
@@ -16,7 +16,7 @@
 
 namespace heatherdrift {
 
-/// What requests need to know of the rest of the node.
+/// The parts of the node that requests depend on.
 struct entry_context {
     event_base* base = nullptr;
     const mesh_settings& settings;
@@ -26,34 +26,35 @@
     gate_service& gate;
     mesh_metrics* metrics = nullptr; ///< May be null.
     std::function<const range_map*(const std::string& service)> map;
-    /// No owner that the range map names answers.
+    /// Fetches a newer range map, because no owner in the present one is reachable.
     std::function<void(const std::string& service)> refreshMap;
-    /// Another node answers at the node's address.
-    std::function<void(const instance_id&)> nodeReplaced;
-    /// A request needs a node that is unreachable.
+    /// Another node responded at the node's address.
+    std::function<void(const instance_id&)> onNodeReplaced;
+    /// Probes an unreachable node that a request needs.
     std::function<void(const instance_id&)> probe;
-    /// A gate of the service knows a range map of this version.
-    std::function<void(const std::string& service, const instance_id&, row_version)> noticeMap;
-    /// What a node told of the store's tables, in answer to a request that was sent at this time.
-    std::function<void(const instance_id&, const known_tables&, time_point askedAt)> noticeTables;
+    /// A gate of the service reported this version of its range map.
+    std::function<void(const std::string& service, const instance_id&, row_version)> onMapVersion;
+    /// A node reported the state of its store tables in response to a request sent at this time.
+    std::function<void(const instance_id&, const table_statements&, time_point askedAt)> onTableStatements;
 };
 
-/// Takes requests from callers, sends each to the gate of a backend server that may run it, and answers the caller.
+/// Accepts requests from callers, forwards each to the gate of a backend server that may run it, and returns the
+/// response.
 class entry_service {
 public:
     explicit entry_service(entry_context);
     ~entry_service();
 
     void handle(http_exchange_ptr);
-    /// The process ends then: requests that may take longer are refused.
+    /// Sets the end of the process; requests whose deadline is later are refused.
     void endAt(time_point at) { m_endsAt = at; }
     std::size_t inProgress() const { return m_calls.size(); }
 
 private:
     friend class entry_call;
 
-    /// Spread around the given time, so that callers that were refused together do not return together.
-    duration spread(duration);
+    /// The given time with jitter, so that callers refused at the same time do not all retry at the same time.
+    duration withJitter(duration);
     retry_budget& budget(const std::string& service);
 
     void refuse(const http_exchange_ptr&, duration retryAfter);
--- a/src/mesh/internal/forward_protocol.cpp
+++ b/src/mesh/internal/forward_protocol.cpp
@@ -30,7 +30,7 @@
     constexpr double permille = 1000;
     constexpr int statusRefused = 503;
 
-    /// Takes the headers of this protocol off a message.
+    /// Reads the headers of this protocol and removes them from the message.
     class header_reader {
     public:
         explicit header_reader(http_headers& headers)
@@ -63,7 +63,7 @@
 
     std::string microseconds(duration value) { return std::to_string(value.count()); }
 
-    std::string encodeTables(const known_tables& tables)
+    std::string encodeTables(const table_statements& tables)
     {
         const auto encode = [](const table_statement& table) {
             return std::to_string(table.newestChange) + "," + microseconds(table.age);
@@ -71,7 +71,7 @@
         return encode(tables.configuration) + "," + encode(tables.members);
     }
 
-    std::optional<known_tables> decodeTables(std::string_view text)
+    std::optional<table_statements> decodeTables(std::string_view text)
     {
         std::int64_t numbers[4] {};
         for (auto& number : numbers) {
@@ -83,7 +83,7 @@
             if (!isLast)
                 text.remove_prefix(1);
         }
-        return known_tables { { numbers[0], duration(numbers[1]) }, { numbers[2], duration(numbers[3]) } };
+        return table_statements { { numbers[0], duration(numbers[1]) }, { numbers[2], duration(numbers[3]) } };
     }
 
 } // namespace
@@ -121,7 +121,8 @@
     const auto objective = reader.number(objectiveHeader);
     const auto priority = reader.number(priorityHeader);
     if (!timeout || !objective || !priority || request.service.empty())
-        return notRun(error_code::bad_request, "not a forwarded request");
+        return notRun(
+            error_code::bad_request, "forwarded request without service, timeout, objective or priority header");
     request.deadline = now + duration(*timeout);
     request.objective = now + duration(*objective);
     request.priority = static_cast<int>(*priority);
@@ -165,7 +166,7 @@
     header_reader reader(answer.response.head.headers);
     const auto outcome = parseVerdict(reader.text(verdictHeader));
     if (!outcome)
-        return mayHaveRun(error_code::connection_lost, "the other node's answer has no verdict");
+        return mayHaveRun(error_code::connection_lost, "response of the other node has no verdict header");
     answer.outcome = *outcome;
     answer.reason = parseErrorCode(reader.text(errorHeader)).value_or(error_code::internal);
     answer.retryAfter = duration(reader.number(retryAfterHeader).value_or(0));
--- a/src/mesh/internal/gate_service.cpp
+++ b/src/mesh/internal/gate_service.cpp
@@ -6,21 +6,22 @@
 
 namespace {
 
-    constexpr std::size_t answerLimitBytes = 32u << 20; ///< Answers are passed on whole; this bounds their memory.
-    constexpr auto sweepInterval = std::chrono::milliseconds(20); ///< Delay with which a hopeless request is refused.
-    constexpr auto keyLoadMemory = std::chrono::milliseconds(1500); ///< Hot keys change within seconds.
-    constexpr auto mostIdleTime = std::chrono::seconds(8); ///< Unless the backend server's Keep-Alive says less.
+    constexpr std::size_t answerLimitBytes = 32u << 20; ///< Responses are buffered whole; this bounds their memory.
+    constexpr auto sweepInterval
+        = std::chrono::milliseconds(20); ///< Maximum delay before a request that cannot meet its deadline is refused.
+    constexpr auto keyLoadTimeConstant = std::chrono::milliseconds(1500); ///< Hot keys change within seconds.
+    constexpr auto maxIdleTime = std::chrono::seconds(8); ///< Unless the backend server's Keep-Alive header is shorter.
     constexpr auto retryAfterKeyMove = std::chrono::milliseconds(300); ///< A move takes about a heartbeat interval.
-    /// Below that the link is not what makes an answer late.
-    constexpr auto leastLinkWait = std::chrono::milliseconds(100);
-    constexpr auto leastRetryAfter = std::chrono::milliseconds(50);
+    /// Shorter delivery times are not counted as a delay caused by the link.
+    constexpr auto minLinkDelay = std::chrono::milliseconds(100);
+    constexpr auto minRetryAfter = std::chrono::milliseconds(50);
 
     http_client_options clientOptions(int connections)
     {
         http_client_options options;
         options.maximumConnections = connections;
         options.acceptsUnframedAnswers = true;
-        options.mostIdleTime = mostIdleTime;
+        options.mostIdleTime = maxIdleTime;
         return options;
     }
 
@@ -35,7 +36,7 @@
     , m_hooks(std::move(hooks))
     , m_client(http_client::create(base, settings.backend, clientOptions(64)))
     , m_queue({})
-    , m_keyLoad(keyLoadMemory)
+    , m_keyLoad(keyLoadTimeConstant)
     , m_sweep(base, [this] { sweep(); })
 {
 }
@@ -61,10 +62,11 @@
 
 gate_load gate_service::load() const
 {
-    gate_load load { m_backend.life, m_queue.load(), 0, m_hooks.mapVersion(), isDraining(), m_hooks.knownTables() };
+    gate_load load { m_backend.life, m_queue.load(), 0, m_hooks.mapVersion(), isDraining(), m_hooks.tableStatements() };
     if (load.mapVersion == 0)
         return load;
-    const double perSecond = m_keyLoad.total(boot_clock::now()) / std::chrono::duration<double>(keyLoadMemory).count();
+    const double perSecond
+        = m_keyLoad.total(boot_clock::now()) / std::chrono::duration<double>(keyLoadTimeConstant).count();
     load.demand = perSecond * std::chrono::duration<double>(m_queue.meanServiceTime()).count() / m_queue.slots();
     return load;
 }
@@ -73,29 +75,29 @@
 {
     gate_answer answer;
     answer.reason = reason;
-    // The slots that free until then go to those that wait already; a caller that returns sooner is refused again.
+    // Slots that become free before that go to queued requests, so an earlier retry would be refused again.
     const auto room = m_queue.expectedWait() + m_queue.meanServiceTime();
-    answer.retryAfter = reason == error_code::not_owner ? retryAfterKeyMove : std::max<duration>(leastRetryAfter, room);
+    answer.retryAfter = reason == error_code::not_owner ? retryAfterKeyMove : std::max<duration>(minRetryAfter, room);
     answer.load = load();
     return answer;
 }
 
-request_number gate_service::execute(routed_request request, answer_function answered, duration deliveryTime)
+request_number gate_service::execute(routed_request request, answer_function onAnswer, duration deliveryTime)
 {
     const request_number id = ++m_lastNumber;
     if (m_isStopping) {
-        answered(refusal(error_code::draining));
+        onAnswer(refusal(error_code::draining));
         return id;
     }
     m_origins.record(request.route, request.callerService);
-    m_requests[id] = { std::move(request), std::move(answered), false, deliveryTime, {}, nullptr };
+    m_requests[id] = { std::move(request), std::move(onAnswer), false, deliveryTime, {}, nullptr };
     submit(id);
     return id;
 }
 
-duration gate_service::lateByDelivery(const gate_request& entry, time_point now) const
+duration gate_service::deliveryLateness(const gate_request& entry, time_point now) const
 {
-    if (entry.deliveryTime < leastLinkWait)
+    if (entry.deliveryTime < minLinkDelay)
         return {};
     const auto end = now + m_queue.serviceTime(entry.request.route) + entry.deliveryTime;
     return std::max(end - entry.request.objective, duration());
@@ -112,7 +114,7 @@
         return answer(id, refusal(error_code::not_owner));
     if (now >= m_closesAt)
         return answer(id, refusal(error_code::draining));
-    if (const auto late = lateByDelivery(entry, now); late > duration()) {
+    if (const auto late = deliveryLateness(entry, now); late > duration()) {
         auto refused = refusal(error_code::overloaded);
         refused.retryAfter = std::max(refused.retryAfter, late);
         return answer(id, std::move(refused));
@@ -124,7 +126,7 @@
         if (access == key_access::wait) {
             entry.isAwaitingKey = true;
             ++m_awaitingKeys;
-            return watchWaiting();
+            return scheduleSweep();
         }
         m_keyLoad.add(*entry.request.key, 1, now);
     }
@@ -136,7 +138,7 @@
         return run(id);
     if (decision == queue_decision::refuse)
         return answer(id, refusal(error_code::overloaded));
-    watchWaiting();
+    scheduleSweep();
 }
 
 void gate_service::run(request_number id)
@@ -156,37 +158,37 @@
     m_port.addBackendHeaders(
         message.headers, { m_backend.id, entry.request.callerService, entry.request.deadline - now });
     const auto isForeign = [this, requestId = entry.request.id](const http_response_head& head) {
-        const auto answered = m_port.decodeAnswer(head).requestId;
-        return !answered.empty() && answered != requestId;
+        const auto answeredId = m_port.decodeAnswer(head).requestId;
+        return !answeredId.empty() && answeredId != requestId;
     };
     entry.call = fetchOwn(*m_client, std::move(message), entry.request.deadline, answerLimitBytes, isForeign,
-        [this, id](result<http_response> response) { finished(id, std::move(response)); });
+        [this, id](result<http_response> response) { handleResponse(id, std::move(response)); });
 }
 
-void gate_service::finished(request_number id, result<http_response> response)
+void gate_service::handleResponse(request_number id, result<http_response> response)
 {
     const auto found = m_requests.find(id);
     if (found == m_requests.end())
         return;
     const auto now = boot_clock::now();
-    auto judged = judge(std::move(response));
-    const bool isUsual = judged.outcome == verdict::ran && isSuccess(judged.response.head.status);
+    auto classified = classify(std::move(response));
+    const bool isUsual = classified.outcome == verdict::ran && isSuccess(classified.response.head.status);
     m_queue.finish(id, isUsual ? std::optional(now - found->second.startedAt) : std::nullopt);
-    judged.load = load();
-    if (judged.outcome == verdict::may_have_run) {
+    classified.load = load();
+    if (classified.outcome == verdict::may_have_run) {
         logEvent(log_event::request_lost,
-            { { "request", found->second.request.id }, { "reason", std::string(toString(judged.reason)) },
+            { { "request", found->second.request.id }, { "reason", std::string(toString(classified.reason)) },
                 { "backend_server", m_backend.id }, { "route", found->second.request.route },
                 { "ran_ms",
                     std::to_string(
                         std::chrono::duration_cast<std::chrono::milliseconds>(now - found->second.startedAt).count()) },
                 { "running", std::to_string(m_queue.running()) }, { "waiting", std::to_string(m_queue.waiting()) } });
     }
-    answer(id, std::move(judged));
+    answer(id, std::move(classified));
     runNext();
 }
 
-gate_answer gate_service::judge(result<http_response> response)
+gate_answer gate_service::classify(result<http_response> response)
 {
     if (response.has_error()) {
         const auto& reason = response.error();
@@ -249,7 +251,7 @@
         run(*next);
 }
 
-void gate_service::keysChanged()
+void gate_service::onKeysChanged()
 {
     if (m_awaitingKeys == 0)
         return;
@@ -266,7 +268,7 @@
     }
 }
 
-void gate_service::watchWaiting()
+void gate_service::scheduleSweep()
 {
     if (!m_sweep.isPending())
         m_sweep.startOnce(sweepInterval);
@@ -286,7 +288,7 @@
         answer(id, refusal(error_code::not_owner));
     runNext();
     if (m_queue.waiting() > 0 || m_awaitingKeys > 0)
-        watchWaiting();
+        scheduleSweep();
 }
 
 } // namespace heatherdrift
--- a/src/mesh/internal/gate_service.h
+++ b/src/mesh/internal/gate_service.h
@@ -16,18 +16,19 @@
 /// Whether the backend server beside this node may get a request for a key.
 enum class key_access {
     serve,
-    wait, ///< The backend server owns the key and will hold it soon.
-    refuse, ///< Another one owns it.
+    wait, ///< The backend server owns the key and is about to be granted it.
+    refuse, ///< Another backend server owns the key, or the grant is not imminent.
 };
 
 struct gate_hooks {
     std::function<key_access(key_number)> keyAccess;
     std::function<std::int64_t()> mapVersion; ///< 0 if the service is not partitioned.
-    std::function<std::optional<known_tables>()> knownTables; ///< What this node tells of the store's tables.
-    std::function<void()> onConnectionRefused; ///< Nothing listens at the backend server's address.
+    std::function<std::optional<table_statements>()>
+        tableStatements; ///< State of this node's copies of the store tables.
+    std::function<void()> onConnectionRefused; ///< The backend server's address refused a connection.
 };
 
-/// The backend server beside this node, as it announced itself.
+/// The backend server beside this node, from its announcements.
 struct gate_backend {
     life_name life;
     std::string id;
@@ -36,8 +37,8 @@
     bool operator==(const gate_backend&) const = default;
 };
 
-/// Sends requests to the backend server beside this node. Every request that reaches it comes through here, so that its
-/// slots, its connections, its keys and its leaving are decided in one place.
+/// Sends requests to the backend server beside this node. All requests to it pass through here, so that limits on slots
+/// and connections, key ownership and draining are enforced in one place.
 class gate_service {
 public:
     using answer_function = std::function<void(gate_answer)>;
@@ -45,22 +46,22 @@
     gate_service(event_base*, const mesh_settings&, const platform_port&, gate_hooks);
     ~gate_service();
 
-    /// Calls back exactly once unless the request is cancelled; possibly before it returns. The delivery time is what
-    /// the answer will need from here to whoever asked.
+    /// Invokes the callback exactly once unless the request is cancelled, possibly before execute() returns.
+    /// The delivery time is the expected time to transmit the response to the requesting node.
     request_number execute(routed_request, answer_function, duration deliveryTime = {});
-    /// The caller is gone: the request leaves the queue, or its connection to the backend server is closed.
+    /// Removes the request from the queue or closes its connection to the backend server, because the caller is gone.
     void cancel(request_number);
 
     void setBackend(const gate_backend&);
     const gate_backend& backend() const { return m_backend; }
     void setMaximumConnections(int);
-    /// The backend server leaves: it gets no request after this time.
+    /// Sends no request to the draining backend server after this time.
     void closeAt(time_point);
-    /// Refuses requests of other nodes from now on, as not run; those that wait or run go on.
+    /// Refuses new requests as not run from now on; queued and running ones continue.
     void stopAccepting() { m_isStopping = true; }
     bool isDraining() const { return m_isStopping || m_closesAt != time_point::max(); }
-    /// Answers of keyAccess may have changed.
-    void keysChanged();
+    /// Called when results of keyAccess may have changed.
+    void onKeysChanged();
 
     gate_load load() const;
     const key_load& keyLoad() const { return m_keyLoad; }
@@ -77,16 +78,17 @@
     };
 
     void submit(request_number);
-    /// How much later than its objective the answer would come because of the instance's link; zero if it would not.
-    duration lateByDelivery(const gate_request&, time_point now) const;
+    /// Time by which the response would miss its latency objective because of the instance's link; zero if it would
+    /// not.
+    duration deliveryLateness(const gate_request&, time_point now) const;
     void run(request_number);
     void runNext();
-    void finished(request_number, result<http_response>);
-    gate_answer judge(result<http_response>);
+    void handleResponse(request_number, result<http_response>);
+    gate_answer classify(result<http_response>);
     gate_answer refusal(error_code) const;
     void answer(request_number, gate_answer);
     void sweep();
-    void watchWaiting();
+    void scheduleSweep();
 
     const mesh_settings& m_settings;
     const platform_port& m_port;
--- a/src/mesh/internal/member_registry.cpp
+++ b/src/mesh/internal/member_registry.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-    /// Row of the member table that changes with each removal of another one, as table_copy needs it.
+    /// Row of the member table that is rewritten with each removal of another row; table_copy relies on it.
     constexpr const char* lastRemovalKey = "*last-removal";
     constexpr auto writeTimeout = std::chrono::milliseconds(1500);
     constexpr auto writeBackoff = std::chrono::milliseconds(300);
-    constexpr auto firstHeartbeatPatience = std::chrono::seconds(3); ///< Three intervals of usual heartbeats.
+    constexpr auto firstHeartbeatTimeout = std::chrono::seconds(3); ///< Three usual heartbeat intervals.
 
 } // namespace
 
@@ -22,18 +22,18 @@
     , m_gate(gate)
     , m_ownership(ownership)
     , m_announcements(announcements)
-    , m_announcesAt(boot_clock::now() + firstHeartbeatPatience)
+    , m_publishDueAt(boot_clock::now() + firstHeartbeatTimeout)
     , m_publishRetry(base, [this] { publish(); })
 {
 }
 
-void member_registry::tableRead()
+void member_registry::onTableRead()
 {
     m_isRead = true;
     publish();
 }
 
-void member_registry::rowChanged(const row_change& row)
+void member_registry::onRowChanged(const row_change& row)
 {
     const instance_id& node = row.key.key;
     if (node == lastRemovalKey)
@@ -44,13 +44,13 @@
         return m_directory.remove(node);
     const auto member = parseMember(*row.value);
     if (member.has_error() || member.value().node != node) {
-        const auto reason = member.has_error() ? member.error().message : "names another node";
+        const auto reason = member.has_error() ? member.error().message : "row key and instance name differ";
         logEvent(log_event::peer_message_rejected, { { "target", node }, { "reason", reason } });
         return;
     }
     if (const auto* other = m_directory.findAddress(member.value().address);
         other && other->member.node != node && row.version > other->rowVersion)
-        nodeReplaced(instance_id(other->member.node));
+        onNodeReplaced(instance_id(other->member.node));
     logEvent(log_event::member_changed,
         { { "node", node }, { "life", member.value().life }, { "draining", member.value().isDraining ? "yes" : "no" },
             { "row_version", std::to_string(row.version) } });
@@ -58,9 +58,9 @@
     m_directory.setRowVersion(node, row.version);
 }
 
-/// Until the first heartbeat, the row of an earlier process tells of the backend server. If it is another one
-/// by now, it refuses what is sent to it.
-void member_registry::presume(const row_change& row)
+/// Until the first heartbeat, the backend server is taken from the row that an earlier node process wrote. If another
+/// backend server runs there by now, it refuses the requests sent to it.
+void member_registry::adoptEarlierRow(const row_change& row)
 {
     if (!row.value || m_gate.backend().life != life_name())
         return;
@@ -69,40 +69,40 @@
         || member.value().service != m_settings.service)
         return;
     m_gate.setBackend({ member.value().life, member.value().backendId, member.value().slots });
-    m_ownership.presumeLife(member.value().life);
+    m_ownership.setPresumedLife(member.value().life);
     m_directory.update(member.value(), boot_clock::now());
 }
 
-void member_registry::presumedLifeEnded()
+void member_registry::onPresumedLifeEnded()
 {
     if (m_announcements.current() || m_gate.backend().life.empty())
         return;
     m_gate.setBackend({});
-    m_announcesAt = boot_clock::now();
+    m_publishDueAt = boot_clock::now();
     publish();
 }
 
-/// Another node takes this one for lost, or an earlier process wrote the row: it is written anew.
+/// The row differs because another node removed it or an earlier process wrote it, so it is written again.
 void member_registry::ownRowChanged(const row_change& row)
 {
     if (!m_announcements.current())
-        return presume(row);
+        return adoptEarlierRow(row);
     if (row.value && *row.value == toJson(ownMember()))
         return;
     const auto member = row.value ? parseMember(*row.value) : notRun(error_code::not_found, "removed");
     if (member.has_value() && startOf(member.value().life) < m_announcements.current()->startedAt)
-        m_ownership.predecessorEnded(member.value().life);
+        m_ownership.onPredecessorEnded(member.value().life);
     m_published.reset();
     publish();
 }
 
-void member_registry::nodeReplaced(const instance_id& node)
+void member_registry::onNodeReplaced(const instance_id& node)
 {
     const auto* peer = m_directory.find(node);
     if (!peer || node == m_settings.node)
         return;
     if (peer->member.service == m_settings.service && !peer->member.life.empty())
-        m_ownership.otherEnded(peer->member.life);
+        m_ownership.onOtherBackendEnded(peer->member.life);
     removeLost(node);
 }
 
@@ -114,7 +114,7 @@
     change.changes.push_back({ { table, lastRemovalKey }, 0, node });
     m_directory.remove(node);
     m_store.write(std::move(change), boot_clock::now() + writeTimeout, [node](const result<write_outcome>& outcome) {
-        // A row that was not removed comes back with the next read of the table.
+        // If the write failed, the next read of the table adds the node again.
         if (outcome.has_error())
             logEvent(log_event::member_not_removed, { { "node", node }, { "reason", outcome.error().message } });
     });
@@ -138,13 +138,14 @@
 
 void member_registry::publish()
 {
-    // The row of an earlier process stands for a backend server that may live; it is replaced when the first
-    // heartbeat tells which one does, or does not come.
-    if (!m_announcements.current() && boot_clock::now() < m_announcesAt)
-        return m_publishRetry.startAt(m_announcesAt);
+    // The row of an earlier process names a backend server that may still run. It is replaced at the first heartbeat,
+    // or when none has arrived within firstHeartbeatTimeout.
+    if (!m_announcements.current() && boot_clock::now() < m_publishDueAt)
+        return m_publishRetry.startAt(m_publishDueAt);
     const auto member = ownMember();
     m_directory.update(member, boot_clock::now());
-    // The row of an earlier process names the life whose keys the present one takes over.
+    // The table has to be read first: the row of an earlier process names the life whose keys the present one takes
+    // over.
     if (!m_isRead || m_isPublishing || m_published == member)
         return;
     m_isPublishing = true;
--- a/src/mesh/internal/member_registry.h
+++ b/src/mesh/internal/member_registry.h
@@ -8,32 +8,32 @@
 
 namespace heatherdrift {
 
-/// The rows of the nodes in the store: writes the one of this node, takes in those of the others, and removes those of
-/// lost ones.
+/// Maintains the member table in the store: writes the row of this node, applies the rows of other nodes to the
+/// directory, and removes the rows of lost nodes.
 class member_registry {
 public:
     member_registry(event_base*, const mesh_settings&, watched_store&, mesh_directory&, gate_service&, ownership&,
         announcement_service&);
 
-    void rowChanged(const row_change&);
+    void onRowChanged(const row_change&);
     /// The whole table was read.
-    void tableRead();
+    void onTableRead();
     bool isRead() const { return m_isRead; }
 
     /// Writes this node's row if it differs from the one that was written last.
     void publish();
-    /// Nothing listens at the address of the backend server, which had the life that the row of an earlier process
-    /// names.
-    void presumedLifeEnded();
-    /// Another node listens at the node's address, so that its instance and its backend server are gone.
-    void nodeReplaced(const instance_id&);
+    /// Called when the backend server refused a connection before its first heartbeat, so that the life in the row of
+    /// an earlier node process has ended.
+    void onPresumedLifeEnded();
+    /// Called when another node listens at the node's address, so that its instance and backend server are gone.
+    void onNodeReplaced(const instance_id&);
     void removeLost(const instance_id&);
 
-    static constexpr const char* table = "heatherdrift-members"; ///< Keys are instances.
+    static constexpr const char* table = "heatherdrift-members"; ///< Keyed by instance.
 
 private:
     void ownRowChanged(const row_change&);
-    void presume(const row_change&);
+    void adoptEarlierRow(const row_change&);
     mesh_member ownMember() const;
 
     const mesh_settings& m_settings;
@@ -45,7 +45,7 @@
     bool m_isRead = false;
     std::optional<mesh_member> m_published;
     bool m_isPublishing = false;
-    time_point m_announcesAt {}; ///< From then on the row is written without a heartbeat.
+    time_point m_publishDueAt {}; ///< From this time on the row is written even without a heartbeat.
     timer m_publishRetry;
 };
 
--- a/src/mesh/internal/mesh_directory.cpp
+++ b/src/mesh/internal/mesh_directory.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-    constexpr int mostPeerConnections = 256; ///< Per other node; each carries one request at a time.
+    constexpr int maxPeerConnections = 256; ///< Per peer; each connection carries one request at a time.
     constexpr auto peerIdleTime = std::chrono::seconds(60);
-    /// Requests live for about a second. Three packets in a row have to be lost before a reachable node looks silent,
-    /// since the kernel sends again after 200 and 600 ms.
+    /// Requests have about a second until their deadline. The kernel retransmits after 200 and 600 ms, so that three
+    /// packets in a row have to be lost before a reachable node counts as silent.
     constexpr auto silenceLimit = std::chrono::milliseconds(700);
     constexpr auto connectTimeout = std::chrono::milliseconds(400); ///< Far above the round trip between regions.
-    /// A node that restarts answers again sooner; one that does not is taken for lost.
+    /// A restarting node responds again sooner than this; a node that fails for longer counts as unreachable.
     constexpr auto unreachableAfter = std::chrono::milliseconds(1500);
-    /// One lost packet of a new connection makes a node look silent, too.
-    constexpr int silencesOfLostMachine = 2;
+    /// A single lost packet of a new connection also looks like silence, so one is not enough.
+    constexpr int silencesUntilUnreachable = 2;
 
     http_client_options peerOptions()
     {
         http_client_options options;
-        options.maximumConnections = mostPeerConnections;
+        options.maximumConnections = maxPeerConnections;
         options.mostIdleTime = peerIdleTime;
         options.silenceLimit = silenceLimit;
         options.connectTimeout = connectTimeout;
@@ -54,7 +54,7 @@
 
 mesh_directory::~mesh_directory() = default;
 
-bool mesh_directory::takesWork(const mesh_member& member) const { return !member.life.empty() && !member.isDraining; }
+bool mesh_directory::acceptsWork(const mesh_member& member) const { return !member.life.empty() && !member.isDraining; }
 
 load_view& mesh_directory::view(const std::string& service)
 {
@@ -70,9 +70,9 @@
     std::erase_if(m_retired, [](const auto& client) { return client->idleCount() == client->connectionCount(); });
     auto& peer = m_peers[member.node];
     const bool isOther = peer.member.life != member.life || peer.member.service != member.service;
-    if (takesWork(peer.member) && (!takesWork(member) || isOther))
+    if (acceptsWork(peer.member) && (!acceptsWork(member) || isOther))
         view(peer.member.service).remove(member.node);
-    if (takesWork(member) && (!takesWork(peer.member) || isOther))
+    if (acceptsWork(member) && (!acceptsWork(peer.member) || isOther))
         view(member.service).add(member.node, member.zone, !peer.member.life.empty(), now);
     if (peer.member.address != member.address) {
         if (auto& client = m_clients[member.node])
@@ -89,7 +89,7 @@
     const auto found = m_peers.find(node);
     if (found == m_peers.end())
         return;
-    if (takesWork(found->second.member))
+    if (acceptsWork(found->second.member))
         view(found->second.member.service).remove(node);
     if (const auto client = m_clients.find(node); client != m_clients.end()) {
         m_retired.push_back(std::move(client->second));
@@ -130,7 +130,7 @@
 {
     std::vector<const mesh_peer*> out;
     for (const auto& [node, peer] : m_peers) {
-        if (peer.member.service == service && takesWork(peer.member) && !isUnreachable(peer, now))
+        if (peer.member.service == service && acceptsWork(peer.member) && !isUnreachable(peer, now))
             out.push_back(&peer);
     }
     return out;
@@ -140,7 +140,7 @@
 {
     if (peer.member.node == m_settings.node || peer.failingSince == time_point::max())
         return false;
-    return peer.silences >= silencesOfLostMachine || now - peer.failingSince >= unreachableAfter;
+    return peer.silences >= silencesUntilUnreachable || now - peer.failingSince >= unreachableAfter;
 }
 
 bool mesh_directory::hasAnsweredSince(const instance_id& node, time_point since) const
@@ -149,11 +149,11 @@
     return peer && peer->answeredAt >= since;
 }
 
-std::vector<instance_id> mesh_directory::silentSince(time_point since, int leastFailures) const
+std::vector<instance_id> mesh_directory::silentSince(time_point since, int minFailures) const
 {
     std::vector<instance_id> out;
     for (const auto& [node, peer] : m_peers) {
-        if (peer.failingSince < since && peer.failures >= leastFailures)
+        if (peer.failingSince < since && peer.failures >= minFailures)
             out.push_back(node);
     }
     return out;
@@ -167,7 +167,7 @@
     return *client;
 }
 
-void mesh_directory::answered(const instance_id& node, const std::optional<gate_load>& load, time_point now)
+void mesh_directory::recordAnswer(const instance_id& node, const std::optional<gate_load>& load, time_point now)
 {
     const auto found = m_peers.find(node);
     if (found == m_peers.end())
@@ -177,17 +177,17 @@
     peer.failingSince = time_point::max();
     peer.failures = 0;
     peer.silences = 0;
-    if (std::exchange(peer.isLogged, false))
+    if (std::exchange(peer.isLossLogged, false))
         logEvent(log_event::peer_regained, { { "node", node } });
     if (!load)
         return;
     peer.load = *load;
     peer.loadAt = now;
-    if (takesWork(peer.member))
+    if (acceptsWork(peer.member))
         view(peer.member.service).report(node, { !load->isDraining, std::min(1.0, load->load), now });
 }
 
-void mesh_directory::failed(const instance_id& node, error_code reason, time_point now)
+void mesh_directory::recordFailure(const instance_id& node, error_code reason, time_point now)
 {
     const auto found = m_peers.find(node);
     if (found == m_peers.end())
@@ -196,7 +196,7 @@
     found->second.silences += reason == error_code::unreachable;
     if (found->second.failingSince == time_point::max())
         found->second.failingSince = now;
-    if (isUnreachable(found->second, now) && !std::exchange(found->second.isLogged, true)) {
+    if (isUnreachable(found->second, now) && !std::exchange(found->second.isLossLogged, true)) {
         logEvent(log_event::peer_lost,
             { { "node", node }, { "failures", std::to_string(found->second.failures) },
                 { "address", toString(found->second.member.address) } });
--- a/src/mesh/internal/mesh_directory.h
+++ b/src/mesh/internal/mesh_directory.h
@@ -12,20 +12,20 @@
 
 namespace heatherdrift {
 
-/// Another node as this one sees it.
+/// State of a node as observed by this one.
 struct mesh_peer {
     mesh_member member;
-    row_version rowVersion = 0; ///< Of the row that told of it; 0 for this node itself.
+    row_version rowVersion = 0; ///< Version of its row in the store; 0 for this node itself.
     gate_load load;
     time_point loadAt = time_point::min();
-    time_point answeredAt = time_point::min(); ///< Last answer of the node to anything.
-    time_point failingSince = time_point::max(); ///< First failure since the last answer.
-    int failures = 0; ///< Since the last answer.
-    int silences = 0; ///< Failures since the last answer that show no sign of the node's machine.
-    bool isLogged = false; ///< The log says that it does not answer.
+    time_point answeredAt = time_point::min(); ///< Last response of the node to any request.
+    time_point failingSince = time_point::max(); ///< First failure since the last response.
+    int failures = 0; ///< Since the last response.
+    int silences = 0; ///< Failures since the last response without any packet from the node's instance.
+    bool isLossLogged = false; ///< The loss of the node has been logged.
 };
 
-/// The nodes of the mesh: who they are, how to reach them, and how they answered.
+/// The nodes of the mesh with their connections, reported loads and reachability.
 class mesh_directory {
 public:
     mesh_directory(event_base*, const mesh_settings&);
@@ -39,30 +39,31 @@
     const mesh_peer* findAddress(const endpoint&) const;
     void setRowVersion(const instance_id&, row_version);
     const mesh_peer* findLife(const life_name&) const;
-    /// Backend servers of a service that take work, by node.
+    /// Reachable nodes whose backend servers of this service accept requests, in the order of their names.
     std::vector<const mesh_peer*> available(const std::string& service, time_point now) const;
-    /// Whether the node failed to answer for so long that its work should go elsewhere.
+    /// Whether the node has not responded for so long that requests should go to other nodes.
     bool isUnreachable(const mesh_peer&, time_point now) const;
 
     bool hasAnsweredSince(const instance_id&, time_point) const;
-    /// Nodes that have failed since then without any answer, at least this often.
-    std::vector<instance_id> silentSince(time_point, int leastFailures) const;
+    /// Nodes whose requests have all failed since before this time, at least minFailures of them.
+    std::vector<instance_id> silentSince(time_point, int minFailures) const;
 
     http_client& client(const instance_id&);
-    /// How backend servers of a service that hold no keys are picked.
+    /// Load balancer for the backend servers of a service that is not partitioned.
     load_view& view(const std::string& service);
 
-    void answered(const instance_id&, const std::optional<gate_load>&, time_point now);
-    void failed(const instance_id&, error_code, time_point now);
+    void recordAnswer(const instance_id&, const std::optional<gate_load>&, time_point now);
+    void recordFailure(const instance_id&, error_code, time_point now);
 
 private:
-    bool takesWork(const mesh_member&) const;
+    bool acceptsWork(const mesh_member&) const;
 
     event_base* m_base;
     const mesh_settings& m_settings;
     std::map<instance_id, mesh_peer> m_peers;
     std::map<instance_id, std::unique_ptr<http_client>> m_clients;
-    std::vector<std::unique_ptr<http_client>> m_retired; ///< Of nodes that changed their address.
+    std::vector<std::unique_ptr<http_client>>
+        m_retired; ///< Clients of removed nodes and former addresses, until their calls end.
     std::map<std::string, std::unique_ptr<load_view>> m_views;
 };
 
--- a/src/mesh/internal/mesh_metrics.cpp
+++ b/src/mesh/internal/mesh_metrics.cpp
@@ -47,7 +47,7 @@
         .counter("heatherdrift_store_calls_total", "Calls to the store.",
             { { "kind", std::string(kind) }, { "answered", isAnswered ? "yes" : "no" } })
         .Increment();
-    if (kind != "watch") // A watch waits for changes.
+    if (kind != "watch") // The duration of a watch is the wait for a change, not the latency of the store.
         m_registry
             .latency("heatherdrift_store_seconds", "Time of a call to the store.", { { "kind", std::string(kind) } })
             .Observe(seconds(latency));
--- a/src/mesh/internal/mesh_metrics.h
+++ b/src/mesh/internal/mesh_metrics.h
@@ -12,9 +12,9 @@
 public:
     mesh_metrics();
 
-    /// A caller got its answer, or left.
+    /// A request of a caller was answered or abandoned.
     void requestEnded(const std::string& service, std::string_view outcome, duration latency);
-    /// A request of another node or of this one left the gate.
+    /// A forwarded request of another node completed at the gate.
     void gateEnded(verdict, std::string_view reason);
     void storeCall(std::string_view kind, bool isAnswered, duration latency);
     void rangeMapChanged(std::uint64_t version, std::uint32_t ownKeys, std::size_t ranges);
@@ -35,7 +35,7 @@
     prometheus::Gauge& m_waiting;
 };
 
-/// Counts the calls to a store and their latencies.
+/// Records metrics of the calls to a store.
 class counting_store : public watched_store {
 public:
     counting_store(std::unique_ptr<watched_store>, mesh_metrics&);
--- a/src/mesh/internal/mesh_node.cpp
+++ b/src/mesh/internal/mesh_node.cpp
@@ -7,7 +7,7 @@
 #include "mesh/internal/gate_service.h"
 #include "mesh/internal/member_registry.h"
 #include "mesh/internal/mesh_metrics.h"
-#include "mesh/internal/owner_council.h"
+#include "mesh/internal/owner_exchange.h"
 #include "mesh/internal/ownership.h"
 #include "mesh/internal/peer_watch.h"
 #include "mesh/internal/range_balancer.h"
@@ -22,24 +22,24 @@
 
 namespace {
 
-    constexpr const char* rangeTable = "heatherdrift-ranges"; ///< Keys are services.
-    /// A configuration has to be in force within two seconds, also of the loss of the nodes that ask for it.
-    constexpr watch_terms configurationTerms {};
-    /// Gates tell with their answers that they take no more, so that members may be learned a little late.
-    constexpr watch_terms memberTerms { std::chrono::milliseconds(2500), std::chrono::milliseconds(600),
+    constexpr const char* rangeTable = "heatherdrift-ranges"; ///< Keyed by service.
+    /// A configuration has to be in force within two seconds, even if the nodes that poll the store are lost.
+    constexpr watch_timing configurationTiming {};
+    /// Member changes may arrive later, since gates report in their responses that they are draining.
+    constexpr watch_timing memberTiming { std::chrono::milliseconds(2500), std::chrono::milliseconds(600),
         std::chrono::milliseconds(4000), std::chrono::milliseconds(3000), std::chrono::milliseconds(1500) };
-    /// Nodes that a change concerns are sent it, and owners learn of others from the one that checks the map each
-    /// second.
-    constexpr watch_terms rangeTerms { std::chrono::seconds(20), std::chrono::seconds(15), {}, {},
+    /// Changes of the map are pushed to the affected nodes, and other owners get them from the owner that checks the
+    /// map each second.
+    constexpr watch_timing rangeTiming { std::chrono::seconds(20), std::chrono::seconds(15), {}, {},
         std::chrono::milliseconds(1500) };
-    constexpr auto recentLoad = std::chrono::seconds(2); ///< Older loads say nothing of a hot key's place.
+    constexpr auto maxLoadAge = std::chrono::seconds(2); ///< Older loads are not used to place hot keys.
     constexpr auto stopPollInterval = std::chrono::milliseconds(50);
-    /// Callers see after two missed readiness checks, a second apart, that this node takes no more.
-    constexpr auto leastStopTime = std::chrono::milliseconds(2300);
-    constexpr auto stopMargin = std::chrono::milliseconds(500); ///< Before the process is ended by force.
+    /// Callers stop using this node after two failed readiness checks, a second apart.
+    constexpr auto minStopTime = std::chrono::milliseconds(2300);
+    constexpr auto stopMargin = std::chrono::milliseconds(500); ///< Before the process would be killed.
     constexpr http_server_limits forwardLimits { 64 * 1024, 64u << 20, 120, 1 };
     constexpr int statusNotFound = 404;
-    constexpr std::size_t pipelineDepth = 16; ///< Requests of one caller's connection that are worked on at once.
+    constexpr std::size_t pipelineDepth = 16; ///< Concurrent requests per caller connection.
 
     class mesh_node_impl : public mesh_node {
     public:
@@ -55,8 +55,8 @@
                   { [this](key_number key) { return m_ownership.access(key); },
                       [this] { return m_ownership.version(); }, [this] { return m_tables.statement(); },
                       [this] {
-                          m_announcements.backendRefused();
-                          m_registry.presumedLifeEnded();
+                          m_announcements.onBackendRefused();
+                          m_registry.onPresumedLifeEnded();
                       } })
             , m_ownership(base, m_settings, *m_store, { rangeTable, m_settings.service },
                   { boot_clock::now, [this] { return candidates(); },
@@ -64,16 +64,16 @@
                           return m_balancer.balance(map, fence, now);
                       },
                       [this] {
-                          m_gate.keysChanged();
-                          m_announcements.ownershipChanged();
+                          m_gate.onKeysChanged();
+                          m_announcements.onOwnershipChanged();
                           const auto& map = m_ownership.map();
                           m_metrics.rangeMapChanged(static_cast<std::uint64_t>(m_ownership.version()),
                               map.keyCount(m_ownership.life()), map.ranges().size());
                       },
-                      [this] { m_council.ask(); }, [this] { return m_council.askFirst(candidates()); },
+                      [this] { m_ownerExchange.ask(); }, [this] { return m_ownerExchange.askFirst(candidates()); },
                       [this](const std::set<life_name>& lives) {
-                          m_balancer.written(boot_clock::now());
-                          m_council.push(lives);
+                          m_balancer.onWritten(boot_clock::now());
+                          m_ownerExchange.push(lives);
                       },
                       [this](const life_name& life) {
                           const auto* peer = m_directory.findLife(life);
@@ -94,37 +94,38 @@
                       if (service != m_settings.service)
                           m_replicas.refresh(service, boot_clock::now());
                   },
-                  [this](const instance_id& node) { m_registry.nodeReplaced(node); },
+                  [this](const instance_id& node) { m_registry.onNodeReplaced(node); },
                   [this](const instance_id& node) { m_watch.probe(node); },
                   [this](const std::string& service, const instance_id& node, row_version version) {
                       if (service != m_settings.service)
-                          m_replicas.notice(service, node, version);
+                          m_replicas.handleVersion(service, node, version);
                   },
-                  [this](const instance_id& node, const known_tables& tables, time_point askedAt) {
-                      m_tables.notice(node, tables, askedAt);
+                  [this](const instance_id& node, const table_statements& tables, time_point askedAt) {
+                      m_tables.handleStatements(node, tables, askedAt);
                   } })
             , m_replicas(m_settings, m_directory)
             , m_watch(base, m_settings, m_directory,
-                  { [this](const instance_id& node) { m_registry.nodeReplaced(node); },
+                  { [this](const instance_id& node) { m_registry.onNodeReplaced(node); },
                       [this](const instance_id& node) { m_registry.removeLost(node); },
                       [this] { return isPartitioned() && m_balancer.needsLoads(); },
-                      [this](const instance_id& node, const known_tables& tables, time_point askedAt) {
-                          m_tables.notice(node, tables, askedAt);
+                      [this](const instance_id& node, const table_statements& tables, time_point askedAt) {
+                          m_tables.handleStatements(node, tables, askedAt);
                       } })
-            , m_council(m_settings, m_directory, m_ownership)
+            , m_ownerExchange(m_settings, m_directory, m_ownership)
             , m_random(seededRandom(hashBytes(m_settings.node)))
-            , m_configurationWatcher(base, *m_store, m_port.configurationRow.table, configurationTerms,
-                  { [this](const row_change& row) { configurationChanged(row); }, nullptr, nullptr,
+            , m_configurationWatcher(base, *m_store, m_port.configurationRow.table, configurationTiming,
+                  { [this](const row_change& row) { onConfigurationChanged(row); }, nullptr, nullptr,
                       [this] { return m_tables.place(); }, m_random })
-            , m_memberWatcher(base, *m_store, member_registry::table, memberTerms,
-                  { [this](const row_change& row) { m_registry.rowChanged(row); }, [this] { m_registry.tableRead(); },
+            , m_memberWatcher(base, *m_store, member_registry::table, memberTiming,
+                  { [this](const row_change& row) { m_registry.onRowChanged(row); },
+                      [this] { m_registry.onTableRead(); },
                       [](bool isAvailable) {
                           logEvent(isAvailable ? log_event::store_available : log_event::store_unavailable);
                       },
                       [this] { return m_tables.place(); }, m_random })
-            , m_rangeWatcher(base, *m_store, rangeTable, rangeTerms,
-                  { [this](const row_change& row) { rangesChanged(row); }, [this] { m_ownership.tableRead(); }, nullptr,
-                      [] { return fleet_place(); }, m_random })
+            , m_rangeWatcher(base, *m_store, rangeTable, rangeTiming,
+                  { [this](const row_change& row) { onRangesChanged(row); }, [this] { m_ownership.onTableRead(); },
+                      nullptr, [] { return fleet_place(); }, m_random })
             , m_tables(base, m_settings, m_directory, m_configurationWatcher, m_memberWatcher,
                   { [this](const instance_id& node) { m_watch.probe(node); } })
             , m_stopPoll(base, [this] { stopIfDone(); })
@@ -173,7 +174,7 @@
                 return;
             logEvent(log_event::node_stopping);
             const auto now = boot_clock::now();
-            m_closesGateAt = now + leastStopTime;
+            m_closesGateAt = now + minStopTime;
             m_endsAt = now + m_settings.stopTime - stopMargin;
             m_entryServer->closeAfterAnswers();
             m_entry.endAt(m_endsAt);
@@ -213,13 +214,13 @@
             for (const auto* peer : m_directory.available(m_settings.service, now)) {
                 const bool isSelf = peer->member.node == m_settings.node;
                 const double load = isSelf ? m_gate.load().demand : peer->load.demand;
-                const bool isRecent = isSelf || (peer->loadAt != time_point::min() && now - peer->loadAt < recentLoad);
+                const bool isRecent = isSelf || (peer->loadAt != time_point::min() && now - peer->loadAt < maxLoadAge);
                 out.push_back({ peer->member.node, { peer->member.life, load }, isRecent });
             }
             return out;
         }
 
-        void configurationChanged(const row_change& row)
+        void onConfigurationChanged(const row_change& row)
         {
             if (row.key != m_port.configurationRow || !row.value)
                 return;
@@ -243,10 +244,10 @@
             startOwnershipIfDue();
         }
 
-        void rangesChanged(const row_change& row)
+        void onRangesChanged(const row_change& row)
         {
             if (row.key.key == m_settings.service)
-                m_ownership.rowChanged(row);
+                m_ownership.onRowChanged(row);
         }
 
         void startOwnershipIfDue()
@@ -282,12 +283,12 @@
                 return exchange->respond(encodePing());
             if (exchange->request().target == table_exchange::target)
                 return m_tables.handle(exchange);
-            if (exchange->request().target == owner_council::target)
-                return m_council.handle(exchange);
+            if (exchange->request().target == owner_exchange::target)
+                return m_ownerExchange.handle(exchange);
             if (exchange->request().target == range_balancer::target)
-                return m_balancer.take(exchange);
+                return m_balancer.handleReport(exchange);
             if (exchange->request().target == range_replicas::target && exchange->request().method == "PUT")
-                return m_council.take(exchange);
+                return m_ownerExchange.handlePushedMap(exchange);
             if (exchange->request().target == range_replicas::target)
                 return exchange->respond(
                     { { 200, {} }, toJson(versioned_ranges { m_ownership.version(), m_ownership.map() }) });
@@ -297,7 +298,7 @@
             execute(exchange, std::move(request).value());
         }
 
-        /// Lets the gate run a request of another node.
+        /// Runs a request of another node through the gate.
         void execute(const http_exchange_ptr& exchange, routed_request request)
         {
             const auto isDone = std::make_shared<bool>(false);
@@ -310,7 +311,7 @@
                     *isDone = true;
                     m_metrics.gateEnded(answer.outcome, answer.outcome == verdict::ran ? "" : toString(answer.reason));
                     if (answer.outcome == verdict::ran)
-                        m_sender.learn(route, answer.response.body.size());
+                        m_sender.recordSize(route, answer.response.body.size());
                     m_sender.send(answerNumber, exchange, encodeAnswer(answer));
                 },
                 deliveryTime);
@@ -321,8 +322,6 @@
             });
         }
 
-        /// The backend server may still make nested calls while it runs requests, so the listener for callers closes
-        /// only after the gate is empty.
         http_response encodePing() const
         {
             gate_answer answer;
@@ -331,6 +330,8 @@
             return encodeAnswer(answer);
         }
 
+        /// The listener for callers closes only after the gate is empty, since the backend server may still make nested
+        /// calls while it runs requests.
         void stopIfDone()
         {
             const auto now = boot_clock::now();
@@ -363,7 +364,7 @@
         entry_service m_entry;
         range_replicas m_replicas;
         peer_watch m_watch;
-        owner_council m_council;
+        owner_exchange m_ownerExchange;
         random_function m_random;
         table_watcher m_configurationWatcher;
         table_watcher m_memberWatcher;
--- a/src/mesh/internal/owner_candidate.h
+++ b/src/mesh/internal/owner_candidate.h
@@ -5,7 +5,7 @@
 
 namespace heatherdrift {
 
-/// A backend server of this node's service, for the assignment of keys.
+/// A backend server of this node's service that keys can be assigned to.
 struct owner_candidate {
     instance_id node;
     range_candidate range;
--- a/src/mesh/internal/owner_council.cpp
+++ b/src/mesh/internal/owner_exchange.cpp
@@ -1,4 +1,4 @@
-#include "mesh/internal/owner_council.h"
+#include "mesh/internal/owner_exchange.h"
 
 #include "mesh/internal/range_replicas.h"
 
@@ -13,7 +13,8 @@
     constexpr const char* versionHeader = "heatherdrift-range-map";
     constexpr const char* confirmedAgoHeader = "heatherdrift-confirmed-ago-us";
     constexpr const char* statementHeader = "heatherdrift-map-statement";
-    constexpr auto answerTimeout = std::chrono::milliseconds(1200); ///< Covers a check that times out at the store.
+    constexpr auto answerTimeout
+        = std::chrono::milliseconds(1200); ///< Longer than the timeout of the asked owner's own check at the store.
     constexpr auto pushTimeout = std::chrono::milliseconds(300);
     constexpr std::size_t answerLimitBytes = 4u << 20;
 
@@ -32,7 +33,7 @@
         return "unknown";
     }
 
-    /// Without the header, an answer confirms nothing.
+    /// Without the header the result is one hour, which is too old to confirm anything.
     duration confirmedAgo(const http_response_head& head)
     {
         const auto text = head.headers.find(confirmedAgoHeader).value_or("");
@@ -43,70 +44,70 @@
 
 } // namespace
 
-owner_council::owner_council(const mesh_settings& settings, mesh_directory& directory, ownership& ownership)
+owner_exchange::owner_exchange(const mesh_settings& settings, mesh_directory& directory, ownership& ownership)
     : m_settings(settings)
     , m_directory(directory)
     , m_ownership(ownership)
 {
 }
 
-void owner_council::ask()
+void owner_exchange::ask()
 {
-    const auto state = std::make_shared<round>();
-    state->askedAt = boot_clock::now();
-    state->version = m_ownership.version();
+    const auto round = std::make_shared<confirmation_round>();
+    round->askedAt = boot_clock::now();
+    round->version = m_ownership.version();
     const auto owners = m_ownership.otherOwners();
-    state->asked = owners.size();
+    round->askedCount = owners.size();
     for (const auto& life : owners) {
         if (const auto* peer = m_directory.findLife(life))
-            send(state, peer->member.node);
+            send(round, peer->member.node);
     }
 }
 
-bool owner_council::askFirst(const std::vector<owner_candidate>& candidates)
+bool owner_exchange::askFirst(const std::vector<owner_candidate>& candidates)
 {
     const auto first = std::ranges::find_if(
         candidates, [this](const auto& candidate) { return m_ownership.map().hasOwner(candidate.range.life); });
     if (first == candidates.end() || first->node == m_settings.node)
         return false;
-    const auto state = std::make_shared<round>();
-    state->askedAt = boot_clock::now();
-    state->version = m_ownership.version();
-    state->asked = m_ownership.otherOwners().size();
-    send(state, first->node);
+    const auto round = std::make_shared<confirmation_round>();
+    round->askedAt = boot_clock::now();
+    round->version = m_ownership.version();
+    round->askedCount = m_ownership.otherOwners().size();
+    send(round, first->node);
     return true;
 }
 
-void owner_council::send(const std::shared_ptr<round>& state, const instance_id& node)
+void owner_exchange::send(const std::shared_ptr<confirmation_round>& round, const instance_id& node)
 {
     http_request request;
     request.target = target;
     request.headers.add(targetNodeHeader, node);
     request.headers.add(holderHeader, m_ownership.life());
-    request.headers.add(versionHeader, std::to_string(state->version));
-    fetch(m_directory.client(node), std::move(request), state->askedAt + answerTimeout, answerLimitBytes,
-        [this, state](const result<http_response>& answer) { answered(state, answer); });
+    request.headers.add(versionHeader, std::to_string(round->version));
+    fetch(m_directory.client(node), std::move(request), round->askedAt + answerTimeout, answerLimitBytes,
+        [this, round](const result<http_response>& answer) { handleAnswer(round, answer); });
 }
 
-void owner_council::answered(const std::shared_ptr<round>& state, const result<http_response>& answer)
+void owner_exchange::handleAnswer(const std::shared_ptr<confirmation_round>& round, const result<http_response>& answer)
 {
-    if (answer.has_error() || state->version != m_ownership.version())
+    if (answer.has_error() || round->version != m_ownership.version())
         return;
     const auto statement = answer.value().head.headers.find(statementHeader).value_or("");
     if (statement == nameOf(map_statement::current))
-        return m_ownership.confirmed(state->askedAt - confirmedAgo(answer.value().head));
+        return m_ownership.onConfirmed(round->askedAt - confirmedAgo(answer.value().head));
     if (statement == nameOf(map_statement::outdated)) {
         const auto newer = parseVersionedRanges(answer.value().body);
         if (newer.has_error() || newer.value().version < m_ownership.version())
             return;
         m_ownership.adoptNewer(newer.value().map, newer.value().version);
-        return m_ownership.confirmed(state->askedAt - confirmedAgo(answer.value().head));
+        return m_ownership.onConfirmed(round->askedAt - confirmedAgo(answer.value().head));
     }
-    if (statement == nameOf(map_statement::promised) && ++state->promised == state->asked)
-        m_ownership.promised(state->askedAt);
+    if (statement == nameOf(map_statement::promised) && ++round->promisedCount == round->askedCount)
+        m_ownership.onPromised(round->askedAt);
 }
 
-void owner_council::push(const std::set<life_name>& lives)
+void owner_exchange::push(const std::set<life_name>& lives)
 {
     const auto body = toJson(versioned_ranges { m_ownership.version(), m_ownership.map() });
     for (const auto& life : lives) {
@@ -116,12 +117,12 @@
         http_request request { "PUT", range_replicas::target, { { targetNodeHeader, peer->member.node } }, body };
         fetch(m_directory.client(peer->member.node), std::move(request), boot_clock::now() + pushTimeout,
             answerLimitBytes, [](const result<http_response>&) {
-                // A node that did not get the map learns of it by its next check or by the feed.
+                // A node that missed the push gets the map from its next check or from its watch of the table.
             });
     }
 }
 
-void owner_council::take(const http_exchange_ptr& exchange)
+void owner_exchange::handlePushedMap(const http_exchange_ptr& exchange)
 {
     const auto ranges = parseVersionedRanges(exchange->request().body);
     if (ranges.has_error())
@@ -130,21 +131,22 @@
     exchange->respond({});
 }
 
-void owner_council::handle(const http_exchange_ptr& exchange)
+void owner_exchange::handle(const http_exchange_ptr& exchange)
 {
     const auto& headers = exchange->request().headers;
     const std::string holder(headers.find(holderHeader).value_or(""));
     const std::string_view text = headers.find(versionHeader).value_or("");
     row_version version = 0;
     std::from_chars(text.data(), text.data() + text.size(), version);
-    m_ownership.confirmFor(holder, version, [this, exchange](map_statement statement, std::optional<duration> ago) {
-        http_response response { { 200, { { statementHeader, nameOf(statement) } } }, "" };
-        if (ago)
-            response.head.headers.add(confirmedAgoHeader, std::to_string(ago->count()));
-        if (statement == map_statement::outdated)
-            response.body = toJson(versioned_ranges { m_ownership.version(), m_ownership.map() });
-        exchange->respond(std::move(response));
-    });
+    m_ownership.handleConfirmation(
+        holder, version, [this, exchange](map_statement statement, std::optional<duration> ago) {
+            http_response response { { 200, { { statementHeader, nameOf(statement) } } }, "" };
+            if (ago)
+                response.head.headers.add(confirmedAgoHeader, std::to_string(ago->count()));
+            if (statement == map_statement::outdated)
+                response.body = toJson(versioned_ranges { m_ownership.version(), m_ownership.map() });
+            exchange->respond(std::move(response));
+        });
 }
 
 } // namespace heatherdrift
--- a/src/mesh/internal/ownership.cpp
+++ b/src/mesh/internal/ownership.cpp
@@ -9,49 +9,50 @@
 
 namespace {
 
-    /// Rides through a restart of the node, or two lost heartbeats; keys of a lost owner are served again a lease
-    /// later.
+    /// Outlasts a restart of the node or two lost heartbeats. Keys of a lost owner are unavailable for this long.
     constexpr auto leaseTime = std::chrono::milliseconds(3500);
     constexpr auto confirmInterval = std::chrono::milliseconds(700);
-    /// A check of another owner that is not older is passed on; each call to the store costs more than a message.
-    constexpr auto recentCheck = std::chrono::milliseconds(300);
-    /// The owner that checks for all has not answered once.
-    constexpr auto ownCheckAge = confirmInterval + recentCheck + std::chrono::milliseconds(200);
-    /// Neither has the store. The other owners may need a second to find that out, and the next heartbeat has to come
-    /// before the lease ends.
+    /// Maximum age of a check whose result is passed on to other owners, which saves them a more expensive call to the
+    /// store.
+    constexpr auto maxSharedCheckAge = std::chrono::milliseconds(300);
+    /// Age of the last confirmation at which an owner checks the map itself: the owner that checks for all has missed
+    /// one response.
+    constexpr auto ownCheckAge = confirmInterval + maxSharedCheckAge + std::chrono::milliseconds(200);
+    /// Age at which an owner asks the others for promises, because the store has not responded either. The other owners
+    /// may need a second to detect the outage, and the next heartbeat has to arrive before the lease ends.
     constexpr auto extensionAge = ownCheckAge + std::chrono::milliseconds(100);
     constexpr auto extensionInterval = std::chrono::milliseconds(300);
-    /// Longer than the interval of heartbeats and that of the promises.
+    /// Longer than the heartbeat interval and the interval between requests for promises.
     constexpr auto promiseTime = std::chrono::milliseconds(1600);
-    constexpr auto mostExtension = std::chrono::milliseconds(8000); ///< Most outages of the store are shorter.
-    /// A write of an earlier process may take effect for this long; until then this one does not vouch for the map.
+    constexpr auto maxExtension = std::chrono::milliseconds(8000); ///< Longer than most outages of the store.
+    /// A write of an earlier process may still take effect for this long; until then this process makes no promises.
     constexpr auto lateWriteTime = std::chrono::milliseconds(8000);
-    /// A node that owns no keys takes over only if no owner does so for this time.
-    constexpr auto ownersFirst = std::chrono::milliseconds(3000);
+    /// A node that owns no keys reassigns keys without a live owner only if no owner has done so for this long.
+    constexpr auto nonOwnerTakeoverDelay = std::chrono::milliseconds(3000);
     constexpr auto tickInterval = std::chrono::milliseconds(100);
     constexpr auto writeTimeout = std::chrono::milliseconds(1500);
     constexpr auto confirmTimeout = std::chrono::milliseconds(1000);
-    constexpr auto conflictStep = std::chrono::milliseconds(6); ///< About one call to the store and back.
+    constexpr auto conflictBackoffStep = std::chrono::milliseconds(6); ///< About the round trip of a call to the store.
     constexpr auto writeBackoff = std::chrono::milliseconds(200);
-    /// Clocks of two machines may differ by this share over a lease, and reading them takes a moment.
+    /// Margin for the clock drift between two machines during a lease and for the time to read the clocks.
     constexpr double leaseSafety = 1.05;
-    /// Heartbeats until all backend servers of a new system have announced themselves.
+    /// Heartbeat intervals until all backend servers of a new system have announced themselves.
     constexpr double heartbeatsBeforeFirstMap = 2.2;
-    /// Each further node in order waits so much longer before it does the coordinator's work.
+    /// Additional delay per position in the order of nodes before a node acts as coordinator.
     constexpr auto coordinatorStep = std::chrono::milliseconds(600);
-    /// Another node that sees the same strays sooner, or the owner's own node, goes first.
-    constexpr auto strayPatience = std::chrono::milliseconds(300);
-    /// After a start of all nodes, each needs about this time to announce its backend server.
-    constexpr auto startPatience = std::chrono::milliseconds(2500);
-    /// Owners release keys within about this time unless they are lost.
+    /// Lets a node that detected the lost owner earlier, or the owner's own node, act first.
+    constexpr auto orphanGracePeriod = std::chrono::milliseconds(300);
+    /// After a simultaneous start of all nodes, each backend server is announced within about this time.
+    constexpr auto startupGracePeriod = std::chrono::milliseconds(2500);
+    /// Owners that are not lost release keys within about this time.
     constexpr auto usualReleaseTime = std::chrono::milliseconds(2500);
-    /// Callers may as well wait for this long; those who come earlier are told to return.
-    constexpr auto nearSilenceEnd = std::chrono::milliseconds(600);
-    constexpr int mostDoublings = 3; ///< A release must not wait for much longer than a second.
-    constexpr std::size_t mostEnded = 64; ///< Far more than end within the way of a plan.
-    constexpr std::size_t mostSeen = 4096;
+    /// Requests wait for a grant that is due within this time; earlier ones get a Retry-After response.
+    constexpr auto maxGrantWait = std::chrono::milliseconds(600);
+    constexpr int maxBackoffDoublings = 3; ///< A release must not be delayed by much more than a second.
+    constexpr std::size_t maxEndedLives = 64; ///< Far more than can end while a map change is in progress.
+    constexpr std::size_t maxSeenAssignments = 4096;
 
-    /// Milliseconds after which a silent owner holds nothing, by the clock of another machine.
+    /// Milliseconds, by the clock of another machine, after which the holds of an unresponsive owner have expired.
     std::int64_t silenceAfter(duration hold)
     {
         return static_cast<std::int64_t>(
@@ -60,7 +61,7 @@
 
     hold_terms termsOf(const mesh_settings& settings)
     {
-        return { leaseTime, promiseTime, mostExtension, settings.longestHold, 0.02 };
+        return { leaseTime, promiseTime, maxExtension, settings.longestHold, 0.02 };
     }
 
 } // namespace
@@ -80,7 +81,7 @@
 
 void ownership::start() { m_tick.startRepeating(tickInterval); }
 
-void ownership::rowChanged(const row_change& row)
+void ownership::onRowChanged(const row_change& row)
 {
     if (row.version <= m_version || !row.value)
         return;
@@ -91,7 +92,7 @@
         logEvent(log_event::peer_message_rejected, { { "target", m_row.key }, { "reason", map.error().message } });
 }
 
-void ownership::tableRead() { m_isTableRead = true; }
+void ownership::onTableRead() { m_isTableRead = true; }
 
 void ownership::adopt(const range_map& map, row_version version, std::optional<time_point> readAt)
 {
@@ -103,9 +104,9 @@
     m_map = map;
     const auto now = m_hooks.now();
     for (const auto& range : map.ranges())
-        m_seenAt.try_emplace(range.fence, now);
-    if (m_seenAt.size() > mostSeen)
-        m_seenAt.erase(m_seenAt.begin());
+        m_firstSeenAt.try_emplace(range.fence, now);
+    if (m_firstSeenAt.size() > maxSeenAssignments)
+        m_firstSeenAt.erase(m_firstSeenAt.begin());
     if (readAt)
         m_keeper.confirm(map, *readAt);
     else
@@ -113,29 +114,29 @@
     m_hooks.onChanged();
 }
 
-bool ownership::isGrantNear(const owned_range& range) const
+bool ownership::isGrantImminent(const owned_range& range) const
 {
     if (range.releasing.empty())
         return true;
-    const auto seen = m_seenAt.find(range.fence);
-    if (seen == m_seenAt.end())
+    const auto seen = m_firstSeenAt.find(range.fence);
+    if (seen == m_firstSeenAt.end())
         return false;
     const auto now = m_hooks.now();
     if (std::ranges::all_of(range.releasing, m_hooks.isReachable))
         return now - seen->second < usualReleaseTime;
-    // A lost owner releases nothing; its keys are granted when its silence has lasted long enough.
+    // A lost owner releases nothing; its keys are granted when its holds have expired.
     const auto silenceEnd = seen->second + std::chrono::milliseconds(range.silenceMs);
-    return range.silenceMs > 0 && silenceEnd - now < nearSilenceEnd;
+    return range.silenceMs > 0 && silenceEnd - now < maxGrantWait;
 }
 
-bool ownership::awaitsGrant() const
+bool ownership::isAwaitingGrant() const
 {
     return std::ranges::any_of(m_map.ranges(), [&](const auto& range) {
-        return range.owner == m_keeper.life() && !range.releasing.empty() && isGrantNear(range);
+        return range.owner == m_keeper.life() && !range.releasing.empty() && isGrantImminent(range);
     });
 }
 
-void ownership::presumeLife(const life_name& life)
+void ownership::setPresumedLife(const life_name& life)
 {
     if (m_keeper.life().empty())
         m_presumedLife = life;
@@ -143,7 +144,7 @@
 
 key_access ownership::access(key_number key) const
 {
-    // Until the first heartbeat, the backend server itself refuses what it does not hold.
+    // Before the first heartbeat the holds are unknown; the backend server itself refuses keys that it does not hold.
     if (m_keeper.life().empty() && !m_presumedLife.empty()) {
         const auto& range = m_map.find(key);
         return range.owner == m_presumedLife && range.releasing.empty() ? key_access::serve : key_access::refuse;
@@ -151,7 +152,7 @@
     if (m_keeper.mayServe(key, m_hooks.now()))
         return key_access::serve;
     const auto& range = m_map.find(key);
-    return range.owner == m_keeper.life() && isGrantNear(range) ? key_access::wait : key_access::refuse;
+    return range.owner == m_keeper.life() && isGrantImminent(range) ? key_access::wait : key_access::refuse;
 }
 
 void ownership::report(const backend_announcement& announcement)
@@ -161,7 +162,7 @@
         const auto previous = m_keeper.life().empty() ? m_presumedLife : m_keeper.life();
         m_keeper.startLife(life);
         m_isDraining = false;
-        predecessorEnded(previous);
+        onPredecessorEnded(previous);
     }
     m_keeper.report({ life, announcement.holds, announcement.released });
     propose();
@@ -176,7 +177,7 @@
     return grant;
 }
 
-void ownership::backendEnded(const life_name& life)
+void ownership::onBackendEnded(const life_name& life)
 {
     m_ended.insert(life);
     if (m_keeper.life() == life)
@@ -184,9 +185,9 @@
     propose();
 }
 
-void ownership::predecessorEnded(const life_name& previous)
+void ownership::onPredecessorEnded(const life_name& previous)
 {
-    // The present life answers at the address of the earlier one, which has therefore ended.
+    // The present life listens at the address of the earlier one, which has therefore ended.
     if (previous.empty() || previous == m_keeper.life())
         return;
     m_ended.insert(previous);
@@ -194,7 +195,7 @@
     propose();
 }
 
-void ownership::otherEnded(const life_name& life)
+void ownership::onOtherBackendEnded(const life_name& life)
 {
     m_ended.insert(life);
     propose();
@@ -218,7 +219,7 @@
     const bool isOwner = !m_keeper.life().empty() && m_map.hasOwner(m_keeper.life());
     if (!isOwner)
         return;
-    // A write of this node that may still take effect would make the promises of the others void.
+    // A write of this node that may still take effect would invalidate the promises of the others.
     const auto age = now - m_keeper.confirmedAt();
     if (now >= m_extensionDueAt && m_unresolvedVersion != m_version && age > extensionAge) {
         m_extensionDueAt = now + extensionInterval;
@@ -240,17 +241,18 @@
     const auto now = m_hooks.now();
     conditional_write check;
     check.checks.push_back({ m_row, m_version });
-    m_store.write(check, now + confirmTimeout,
-        [this, version = m_version, now](const result<write_outcome>& outcome) { checked(version, now, outcome); });
+    m_store.write(check, now + confirmTimeout, [this, version = m_version, now](const result<write_outcome>& outcome) {
+        handleCheckResult(version, now, outcome);
+    });
 }
 
-void ownership::checked(row_version version, time_point sentAt, const result<write_outcome>& outcome)
+void ownership::handleCheckResult(row_version version, time_point sentAt, const result<write_outcome>& outcome)
 {
     const auto waiting = std::exchange(m_awaitingCheck, {});
     m_storeAnswered = outcome.has_value();
     const bool isApplied = outcome.has_value() && outcome.value().isApplied;
     if (isApplied)
-        noteCurrent(version, sentAt);
+        recordCheck(version, sentAt);
     else if (outcome.has_value())
         adoptCurrent(outcome.value(), sentAt);
     const bool isCurrent = isApplied && version == m_version;
@@ -261,7 +263,7 @@
     propose();
 }
 
-void ownership::noteCurrent(row_version version, time_point at)
+void ownership::recordCheck(row_version version, time_point at)
 {
     m_checkedAt = version == m_checkedVersion ? std::max(m_checkedAt, at) : at;
     m_checkedVersion = version;
@@ -277,9 +279,9 @@
     return { lives.begin(), lives.end() };
 }
 
-void ownership::confirmed(time_point at) { m_keeper.confirm(m_map, at); }
+void ownership::onConfirmed(time_point at) { m_keeper.confirm(m_map, at); }
 
-void ownership::promised(time_point askedAt)
+void ownership::onPromised(time_point askedAt)
 {
     m_keeper.extend(askedAt);
     m_hooks.onChanged();
@@ -290,10 +292,10 @@
     if (m_checkedAt == time_point::min() || m_checkedVersion != m_version)
         return std::nullopt;
     const auto age = m_hooks.now() - m_checkedAt;
-    return age <= recentCheck ? std::optional<duration>(age) : std::nullopt;
+    return age <= maxSharedCheckAge ? std::optional<duration>(age) : std::nullopt;
 }
 
-void ownership::confirmFor(const life_name& holder, row_version version, statement_function done)
+void ownership::handleConfirmation(const life_name& holder, row_version version, statement_function done)
 {
     const auto state = [this, version](map_statement ofSame) {
         if (version == m_version)
@@ -322,11 +324,12 @@
     return map_statement::promised;
 }
 
-void ownership::failed(const failure& reason)
+void ownership::handleWriteFailure(const failure& reason)
 {
     if (reason.outcome != verdict::not_run)
         m_unresolvedVersion = m_version;
-    // A write whose answer was lost may still take effect; the feed shows it, and a later one conflicts with it.
+    // A write whose response was lost may still take effect. The table watch then delivers it, and a later write
+    // conflicts with it.
     m_mayWriteAt = m_hooks.now() + writeBackoff;
     m_confirmDueAt = time_point::min();
     logEvent(log_event::range_map_write_failed,
@@ -334,20 +337,20 @@
             { "reason", reason.message } });
 }
 
-bool ownership::isOwnerKnown(const life_name& life, const std::vector<owner_candidate>& candidates) const
+bool ownership::isCandidate(const life_name& life, const std::vector<owner_candidate>& candidates) const
 {
     return std::ranges::any_of(candidates, [&](const auto& candidate) { return candidate.range.life == life; });
 }
 
-range_map ownership::releaseOutwaited(const range_map& map, time_point now) const
+range_map ownership::releaseAfterSilence(const range_map& map, time_point now) const
 {
     range_map out = map;
     for (const auto& range : map.ranges()) {
         if (range.owner != m_keeper.life() || range.releasing.empty())
             continue;
-        const auto seen = m_seenAt.find(range.fence);
+        const auto seen = m_firstSeenAt.find(range.fence);
         const auto silence = std::chrono::milliseconds(range.silenceMs);
-        if (range.silenceMs == 0 || seen == m_seenAt.end() || now - seen->second < silence)
+        if (range.silenceMs == 0 || seen == m_firstSeenAt.end() || now - seen->second < silence)
             continue;
         for (const auto& life : range.releasing)
             out = out.release(life, range.keys, "");
@@ -361,21 +364,22 @@
     const auto self = std::ranges::find(candidates, m_settings.node, &owner_candidate::node);
     if (self == candidates.end())
         return map;
-    const bool hasStrays
-        = std::ranges::any_of(map.ranges(), [&](const auto& range) { return !isOwnerKnown(range.owner, candidates); });
-    if (!hasStrays) {
-        m_strayedSince = time_point::max();
+    const bool hasOrphans
+        = std::ranges::any_of(map.ranges(), [&](const auto& range) { return !isCandidate(range.owner, candidates); });
+    if (!hasOrphans) {
+        m_orphanedSince = time_point::max();
         return map;
     }
-    if (m_strayedSince == time_point::max())
-        m_strayedSince = now;
-    // Owners alone decide at first: a holder that is cut off from the store asks them, and only them, for promises.
+    if (m_orphanedSince == time_point::max())
+        m_orphanedSince = now;
+    // Owners act first: a holder that is cut off from the store asks only owners for promises, so that only they know
+    // which keys must not be taken over.
     const bool isOwner = m_map.hasOwner(m_keeper.life()) || !m_map.hasOwners();
     const auto rank = std::count_if(candidates.begin(), self,
         [&](const auto& candidate) { return m_version == 0 || !isOwner || m_map.hasOwner(candidate.range.life); });
-    time_point due = m_strayedSince + rank * coordinatorStep;
+    time_point due = m_orphanedSince + rank * coordinatorStep;
     if (m_version > 0)
-        due = std::max(due + (isOwner ? strayPatience : ownersFirst), m_startedAt + startPatience);
+        due = std::max(due + (isOwner ? orphanGracePeriod : nonOwnerTakeoverDelay), m_startedAt + startupGracePeriod);
     else if (m_settings.isFirstStart)
         due = std::max(due,
             m_startedAt + std::chrono::duration_cast<duration>(m_settings.heartbeatInterval * heartbeatsBeforeFirstMap)
@@ -386,18 +390,18 @@
     for (const auto& candidate : candidates)
         ranges.push_back(candidate.range);
     for (const auto& [life, until] : m_promisedUntil) {
-        if (now < until && !isOwnerKnown(life, candidates))
+        if (now < until && !isCandidate(life, candidates))
             return map;
     }
-    const auto silence = isOwner ? duration(leaseTime) : duration(leaseTime + mostExtension);
+    const auto silence = isOwner ? duration(leaseTime) : duration(leaseTime + maxExtension);
     return assignUnowned(map, ranges, m_version + 1, silenceAfter(silence));
 }
 
 range_map ownership::balance(const range_map& map, time_point now)
 {
-    // A holder that is cut off from the store may keep its keys for longer than a lease by the promises of all other
-    // owners, this one included, and of the process before this one.
-    const bool mayMove = !m_isDraining && m_storeAnswered && now >= m_startedAt + startPatience
+    // A holder that is cut off from the store may keep its keys beyond its lease if all other owners promised,
+    // including this node and its previous process. Keys are not moved while such a promise may be valid.
+    const bool mayMove = !m_isDraining && m_storeAnswered && now >= m_startedAt + startupGracePeriod
         && m_map.hasOwner(m_keeper.life())
         && std::ranges::none_of(m_promisedUntil, [&](const auto& entry) { return now < entry.second; });
     return mayMove ? m_hooks.balance(map, m_version + 1, now) : map;
@@ -405,21 +409,22 @@
 
 std::optional<range_map> ownership::nextMap(time_point now)
 {
-    // A plan that is on its way may still give keys to a life that has just ended, so the others are forgotten late.
-    if (m_ended.size() > mostEnded)
+    // A map change in progress may still assign keys to a life that has just ended, so ended lives are removed from the
+    // set only when it is large.
+    if (m_ended.size() > maxEndedLives)
         std::erase_if(m_ended, [&](const auto& ended) { return !m_map.names(ended); });
     range_map next = m_map;
     const auto& life = m_keeper.life();
     for (const auto& ended : m_ended) {
         if (ended == m_previousLife && life.empty())
             continue;
-        // Only a later life of the same backend server takes the keys over as they are.
+        // Only a later life of the same backend server takes over its ranges unchanged.
         const bool hasSuccessor = !life.empty() && life != ended && !m_isDraining && ended == m_previousLife;
         next = next.replace(ended, hasSuccessor ? life : life_name(), m_version + 1);
     }
     if (!life.empty()) {
         next = m_keeper.releaseUnheld(next, now);
-        next = releaseOutwaited(next, now);
+        next = releaseAfterSilence(next, now);
     }
     if (m_isDraining) {
         std::vector<range_candidate> others;
@@ -448,14 +453,14 @@
     change.checks.push_back({ m_row, m_version });
     change.changes.push_back({ m_row, 0, next->toJson() });
     m_store.write(std::move(change), now + writeTimeout,
-        [this, map = *next, now](result<write_outcome> outcome) { wrote(map, now, std::move(outcome)); });
+        [this, map = *next, now](result<write_outcome> outcome) { handleWriteResult(map, now, std::move(outcome)); });
 }
 
-void ownership::wrote(const range_map& proposed, time_point sentAt, result<write_outcome> outcome)
+void ownership::handleWriteResult(const range_map& proposed, time_point sentAt, result<write_outcome> outcome)
 {
     m_isWriting = false;
     if (outcome.has_error())
-        return failed(outcome.error());
+        return handleWriteFailure(outcome.error());
     if (!outcome.value().isApplied) {
         adoptCurrent(outcome.value(), sentAt);
         backOff();
@@ -463,10 +468,10 @@
     }
     m_conflicts = 0;
     m_confirmDueAt = std::max(m_confirmDueAt, sentAt + confirmInterval);
-    const auto concerned = proposed.livesOfChanges(m_map);
-    noteCurrent(outcome.value().version, sentAt);
+    const auto affected = proposed.livesOfChanges(m_map);
+    recordCheck(outcome.value().version, sentAt);
     adopt(proposed, outcome.value().version, sentAt);
-    m_hooks.onWritten(concerned);
+    m_hooks.onWritten(affected);
     propose();
 }
 
@@ -481,19 +486,20 @@
             continue;
         }
         if (row.version >= m_version)
-            noteCurrent(row.version, sentAt);
+            recordCheck(row.version, sentAt);
         adopt(map.value(), row.version, sentAt);
     }
 }
 
 void ownership::backOff()
 {
-    // The answer to a conflict holds the newest map, so that a change based on it right away mostly succeeds; after a
-    // wait it would be outdated again. Only if others were faster twice, the owners spread their writes: without the
-    // growth, those of 34 owners kept the store busy with conflicts (iarc-mesh-grown scale-1, 700 calls a second).
+    // The response to a conflict contains the newest map, so that an immediate retry usually succeeds; after a delay
+    // that map would be outdated again. From the second consecutive conflict on, writes are delayed by a random time
+    // with exponential growth: without the growth, 34 owners kept the store busy with conflicts (700 calls per second).
     if (++m_conflicts % 2 == 1)
         return;
-    const auto spread = conflictStep * (otherOwners().size() + 1) * (1 << std::min(m_conflicts / 2 - 1, mostDoublings));
+    const auto spread
+        = conflictBackoffStep * (otherOwners().size() + 1) * (1 << std::min(m_conflicts / 2 - 1, maxBackoffDoublings));
     m_mayWriteAt = m_hooks.now() + std::chrono::duration_cast<duration>(spread * m_random());
 }
 
--- a/src/mesh/internal/ownership.h
+++ b/src/mesh/internal/ownership.h
@@ -13,11 +13,11 @@
 
 namespace heatherdrift {
 
-/// What another owner says of a range map.
+/// Response of another owner to a request to confirm a version of the range map.
 enum class map_statement {
-    current, ///< The store confirmed it just now.
-    promised, ///< The store does not answer; the owner takes no keys of the one who asks over for a while.
-    outdated, ///< A newer one is known.
+    current, ///< The store confirmed it within the last few hundred milliseconds.
+    promised, ///< The store does not respond; for a limited time this owner takes over no keys of the requester.
+    outdated, ///< The other owner has a newer version.
     unknown,
 };
 
@@ -25,95 +25,97 @@
     clock_function now;
     /// Backend servers that can own keys, in the order of their nodes.
     std::function<std::vector<owner_candidate>()> candidates;
-    /// The map with the keys moved that should be because of their load.
+    /// Returns the map with keys moved for load balance.
     std::function<range_map(const range_map&, fencing_token, time_point now)> balance;
-    /// Holds or the range map have changed.
+    /// The granted keys or the range map have changed.
     std::function<void()> onChanged;
-    /// The store does not confirm the map: the other owners are to be asked.
+    /// Asks all other owners to confirm the map, because the store does not.
     std::function<void()> askOtherOwners;
-    /// Asks the one owner that checks the map for all of them; false if that is this node, or none is known.
+    /// Asks the owner that checks the map for all others; false if that is this node, or no owner is known.
     std::function<bool()> askConfirmingOwner;
-    /// This node changed the map; the given lives are concerned.
+    /// This node has written a new map that changes ranges of the given lives.
     std::function<void(const std::set<life_name>&)> onWritten;
-    /// Whether the node beside the backend server of this life answers, so that it will tell of its releases.
+    /// Whether the node beside the backend server of this life responds, so that it can publish releases of keys.
     std::function<bool(const life_name&)> isReachable;
 };
 
-/// Keeps the keys of the backend server beside this node: what it may hold, and the range map of its service in the
-/// store. Every change of the map is a compare-and-set; what is to be changed is computed anew from the newest map.
+/// Manages the keys of the backend server beside this node: which keys it may hold, and this node's changes to the
+/// range map of its service in the store. Every change is a compare-and-set; after a conflict it is computed again from
+/// the newest map.
 class ownership {
 public:
     ownership(event_base*, const mesh_settings&, watched_store&, row_key mapRow, ownership_hooks);
 
-    /// The range map row was read or has changed.
-    void rowChanged(const row_change&);
-    /// The whole table was read, so that a missing row does not exist.
-    void tableRead();
-    /// Calls advance() regularly from now on.
+    /// Called when the row of the range map was read or has changed.
+    void onRowChanged(const row_change&);
+    /// Called when the whole table was read, so that a row that was not seen does not exist.
+    void onTableRead();
+    /// Starts calling advance() periodically.
     void start();
-    /// Does what is due.
+    /// Sends the confirmations and map changes that are due.
     void advance();
 
     const range_map& map() const { return m_map; }
     row_version version() const { return m_version; }
     key_access access(key_number) const;
-    /// Takes in what the backend server says of its keys.
+    /// Applies the held and released keys in a heartbeat of the backend server.
     void report(const backend_announcement&);
-    /// What the backend server is to hold, as the answer to its last report.
+    /// The keys granted to the backend server, in response to its last heartbeat.
     hold_grant grant(time_point receivedAt);
-    /// The backend server has ended for certain.
-    void backendEnded(const life_name&);
-    /// An earlier life of the backend server beside this node; the present one takes its keys over at once.
-    void predecessorEnded(const life_name&);
-    /// The backend server of another node has ended for certain.
-    void otherEnded(const life_name&);
-    /// The backend server leaves; its keys go to the others.
+    /// Called when the process of the backend server is certain to have ended.
+    void onBackendEnded(const life_name&);
+    /// Called when an earlier life of the backend server beside this node has ended. The present one takes over its
+    /// keys at once.
+    void onPredecessorEnded(const life_name&);
+    /// Called when the backend server of another node is certain to have ended.
+    void onOtherBackendEnded(const life_name&);
+    /// Assigns the keys of the draining backend server to others.
     void startDrain();
-    /// The backend server had this life before the process started; a heartbeat has yet to confirm it.
-    void presumeLife(const life_name&);
+    /// Sets the life that the backend server had before this process started, until its first heartbeat.
+    void setPresumedLife(const life_name&);
 
-    /// Lives of the other owners, all of which have to promise.
+    /// Lives of the other owners; an extension of the lease needs the promises of all of them.
     std::vector<life_name> otherOwners() const;
     const life_name& life() const { return m_keeper.life(); }
-    /// The present map was current in the store at this time, as another owner says.
-    void confirmed(time_point at);
-    /// All other owners promised; they were asked at this time or later.
-    void promised(time_point askedAt);
-    /// For another owner: whether the map of this version is current, and how long ago the newest known one was for
-    /// certain.
+    /// Called when another owner confirmed that the present map was current in the store at this time.
+    void onConfirmed(time_point at);
+    /// Called when all other owners promised not to take over keys; they were asked at this time or later.
+    void onPromised(time_point askedAt);
+    /// Result for another owner: whether the map of this version is current, and how long ago the newest known version
+    /// was confirmed by the store.
     using statement_function = std::function<void(map_statement, std::optional<duration> confirmedAgo)>;
-    void confirmFor(const life_name& holder, row_version, statement_function);
+    void handleConfirmation(const life_name& holder, row_version, statement_function);
     void adoptNewer(const range_map& map, row_version version) { adopt(map, version, std::nullopt); }
-    /// Whether keys are about to be granted to the backend server.
-    bool awaitsGrant() const;
-    /// Whether the store answered the last question about the range map.
+    /// Whether a grant of keys to the backend server is imminent.
+    bool isAwaitingGrant() const;
+    /// Whether the store responded to the last check of the range map.
     bool isStoreAvailable() const { return m_storeAnswered; }
 
 private:
     void adopt(const range_map&, row_version, std::optional<time_point> readAt);
     void confirmIfDue(time_point now);
-    void noteCurrent(row_version, time_point at);
+    void recordCheck(row_version, time_point at);
     std::optional<range_map> nextMap(time_point now);
-    range_map releaseOutwaited(const range_map&, time_point now) const;
+    range_map releaseAfterSilence(const range_map&, time_point now) const;
     range_map coordinate(const range_map&, time_point now);
     range_map balance(const range_map&, time_point now);
     void propose();
-    void wrote(const range_map& proposed, time_point sentAt, result<write_outcome>);
-    /// Asks the store whether the map is current; questions that come meanwhile share the answer.
+    void handleWriteResult(const range_map& proposed, time_point sentAt, result<write_outcome>);
+    /// Checks at the store whether the map is current. Checks requested meanwhile share the response.
     void checkMap(std::function<void(bool isCurrent)>);
-    void checked(row_version, time_point sentAt, const result<write_outcome>&);
-    /// How long ago the present map was current in the store, if that is recent enough to be passed on.
+    void handleCheckResult(row_version, time_point sentAt, const result<write_outcome>&);
+    /// Time since the store confirmed the present map, if recent enough to be passed on to other owners.
     std::optional<duration> recentlyChecked() const;
     map_statement promise(const life_name& holder);
-    void failed(const failure&);
+    void handleWriteFailure(const failure&);
     void logGrant(const hold_grant&, std::size_t before, time_point receivedAt) const;
     void logMap(const range_map&, row_version, bool isOwnCall) const;
-    /// Takes in the map that a refused write or check was answered with.
+    /// Adopts the map in the response to a rejected write or check.
     void adoptCurrent(const write_outcome&, time_point sentAt);
-    /// After a write that another owner was faster with.
+    /// Delays the next write after a conflict with another owner's write.
     void backOff();
-    bool isGrantNear(const owned_range&) const;
-    bool isOwnerKnown(const life_name&, const std::vector<owner_candidate>&) const;
+    bool isGrantImminent(const owned_range&) const;
+    bool isCandidate(const life_name&, const std::vector<owner_candidate>&) const;
 
     const mesh_settings& m_settings;
     watched_store& m_store;
@@ -124,23 +126,24 @@
     row_version m_version = 0;
     bool m_isTableRead = false;
     bool m_isDraining = false;
-    std::set<life_name> m_ended; ///< Lives that have ended for certain and may still stand in the map.
-    std::map<fencing_token, time_point> m_seenAt; ///< When this process first saw an assignment.
-    life_name m_previousLife; ///< Of the backend server beside this node, before the present one.
+    std::set<life_name> m_ended; ///< Lives that are certain to have ended and may still be in the map.
+    std::map<fencing_token, time_point> m_firstSeenAt; ///< Time at which this process first saw an assignment.
+    life_name m_previousLife; ///< Previous life of the backend server beside this node.
     bool m_isWriting = false;
-    int m_conflicts = 0; ///< In a row.
+    int m_conflicts = 0; ///< Consecutive write conflicts.
     time_point m_startedAt;
-    bool m_storeAnswered = true; ///< The last check of the map.
+    bool m_storeAnswered = true; ///< Result of the last check of the map.
     row_version m_unresolvedVersion = -1; ///< A write that expects this version may still take effect.
-    std::map<life_name, time_point> m_promisedUntil; ///< Owners whose keys this node does not take over.
+    std::map<life_name, time_point>
+        m_promisedUntil; ///< Owners whose keys this node must not take over before this time.
     life_name m_presumedLife;
-    row_version m_checkedVersion = 0; ///< Version that was current in the store
-    time_point m_checkedAt = time_point::min(); ///< at this time.
-    std::vector<std::function<void(bool isCurrent)>> m_awaitingCheck; ///< Not empty: a check is on its way.
+    row_version m_checkedVersion = 0; ///< Version that the store confirmed as current
+    time_point m_checkedAt = time_point::min(); ///< and the time of that check.
+    std::vector<std::function<void(bool isCurrent)>> m_awaitingCheck; ///< Not empty while a check is in progress.
     time_point m_extensionDueAt = time_point::min();
     time_point m_confirmDueAt = time_point::min();
-    time_point m_mayWriteAt = time_point::min(); ///< After a failed write.
-    time_point m_strayedSince = time_point::max(); ///< Since when some keys have no live owner.
+    time_point m_mayWriteAt = time_point::min(); ///< Backoff after a failed or conflicting write.
+    time_point m_orphanedSince = time_point::max(); ///< Time since which some keys have had no live owner.
     random_function m_random;
     timer m_tick;
 };
--- a/src/mesh/internal/ownership_log.cpp
+++ b/src/mesh/internal/ownership_log.cpp
@@ -23,17 +23,17 @@
 void ownership::logMap(const range_map& map, row_version version, bool isOwnCall) const
 {
     std::size_t releasing = 0;
-    std::size_t strayed = 0;
+    std::size_t orphaned = 0;
     const auto candidates = m_hooks.candidates();
     for (const auto& range : map.ranges()) {
         releasing += !range.releasing.empty();
-        strayed += !isOwnerKnown(range.owner, candidates);
+        orphaned += !isCandidate(range.owner, candidates);
     }
     logEvent(log_event::range_map_changed,
         { { "version", std::to_string(version) }, { "learned_by", isOwnCall ? "own call" : "feed" },
             { "ranges", std::to_string(map.ranges().size()) },
             { "own_keys", std::to_string(map.keyCount(m_keeper.life())) }, { "releasing", std::to_string(releasing) },
-            { "without_live_owner", std::to_string(strayed) }, { "candidates", std::to_string(candidates.size()) },
+            { "without_live_owner", std::to_string(orphaned) }, { "candidates", std::to_string(candidates.size()) },
             { "life", m_keeper.life() } });
 }
 
--- a/src/mesh/internal/peer_watch.cpp
+++ b/src/mesh/internal/peer_watch.cpp
@@ -5,12 +5,13 @@
 namespace {
 
     constexpr auto interval = std::chrono::milliseconds(400);
-    constexpr auto answerTimeout = std::chrono::milliseconds(400); ///< A node answers a ping within milliseconds.
-    constexpr auto recentAnswer = std::chrono::milliseconds(1500);
-    constexpr auto recentLoad = std::chrono::milliseconds(1000);
-    constexpr auto forgetAfter = std::chrono::seconds(10); ///< Far longer than a restart or a short cut.
-    constexpr int leastFailures = 5; ///< In a row, before the row of a node is removed.
-    constexpr std::size_t mostWatchers = 2; ///< Nodes of a service that watch the others.
+    constexpr auto answerTimeout = std::chrono::milliseconds(400); ///< A node responds to a ping within milliseconds.
+    constexpr auto maxAnswerAge = std::chrono::milliseconds(1500);
+    constexpr auto maxLoadAge = std::chrono::milliseconds(1000);
+    constexpr auto removeAfter
+        = std::chrono::seconds(10); ///< Much longer than a restart or a short network interruption.
+    constexpr int minFailures = 5; ///< Consecutive failures before the row of a node is removed.
+    constexpr std::size_t maxWatchers = 2; ///< Nodes of a service that ping the others.
     constexpr std::size_t answerLimitBytes = 1024;
 
 } // namespace
@@ -31,9 +32,9 @@
     std::size_t before = 0;
     for (const auto& [node, peer] : m_directory.peers()) {
         if (node == m_settings.node)
-            return before < mostWatchers;
+            return before < maxWatchers;
         if (peer.member.service == m_settings.service)
-            before += m_directory.hasAnsweredSince(node, now - recentAnswer);
+            before += m_directory.hasAnsweredSince(node, now - maxAnswerAge);
     }
     return false;
 }
@@ -41,17 +42,17 @@
 void peer_watch::tick()
 {
     const auto now = boot_clock::now();
-    // One old failure says little: a node that failed is asked again before it counts as lost.
+    // A single failure in the past does not show a loss, so nodes that failed are probed again.
     for (const auto& node : m_directory.silentSince(now - interval, 1))
         probe(node);
-    for (const auto& node : m_directory.silentSince(now - forgetAfter, leastFailures))
+    for (const auto& node : m_directory.silentSince(now - removeAfter, minFailures))
         m_hooks.onLost(node);
     const bool needsLoads = m_hooks.needsLoads();
     if (!needsLoads && !isWatcher(now))
         return;
     for (const auto& [node, peer] : m_directory.peers()) {
         const bool isWatched = node != m_settings.node && peer.member.service == m_settings.service;
-        const bool isLoadOld = needsLoads && peer.loadAt < now - recentLoad;
+        const bool isLoadOld = needsLoads && peer.loadAt < now - maxLoadAge;
         if (isWatched && (isLoadOld || !m_directory.hasAnsweredSince(node, now - interval)))
             ping(node);
     }
@@ -69,7 +70,7 @@
 
 void peer_watch::ping(const instance_id& node)
 {
-    if (!m_directory.find(node) || !m_asked.insert(node).second)
+    if (!m_directory.find(node) || !m_pendingPings.insert(node).second)
         return;
     http_request request;
     request.target = target;
@@ -77,16 +78,17 @@
     const auto askedAt = boot_clock::now();
     fetch(m_directory.client(node), std::move(request), askedAt + answerTimeout, answerLimitBytes,
         [this, node, askedAt](const result<http_response>& answer) {
-            m_asked.erase(node);
+            m_pendingPings.erase(node);
             const auto now = boot_clock::now();
             if (answer.has_error())
-                return m_directory.failed(node, answer.error().code, now);
+                return m_directory.recordFailure(node, answer.error().code, now);
             if (answer.value().head.status == statusOtherNode)
                 return m_hooks.onReplaced(node);
             const auto decoded = decodeAnswer(answer.value());
-            m_directory.answered(node, decoded.has_value() ? std::optional(decoded.value().load) : std::nullopt, now);
+            m_directory.recordAnswer(
+                node, decoded.has_value() ? std::optional(decoded.value().load) : std::nullopt, now);
             if (decoded.has_value() && decoded.value().load.tables)
-                m_hooks.noticeTables(node, *decoded.value().load.tables, askedAt);
+                m_hooks.onTableStatements(node, *decoded.value().load.tables, askedAt);
         });
 }
 
--- a/src/mesh/internal/peer_watch.h
+++ b/src/mesh/internal/peer_watch.h
@@ -8,24 +8,24 @@
 namespace heatherdrift {
 
 struct peer_watch_hooks {
-    /// Another node answers at the node's address, so that its instance is gone.
+    /// Another node responded at the node's address, so that its instance is gone.
     std::function<void(const instance_id&)> onReplaced;
-    /// The node has not answered for a long time.
+    /// The node has not responded for long enough to be removed from the member table.
     std::function<void(const instance_id&)> onLost;
-    /// Whether the loads of the service's other nodes matter now.
+    /// Whether this node currently needs the loads of the service's other nodes.
     std::function<bool()> needsLoads;
-    /// What a node told of the store's tables, in answer to a request that was sent at this time.
-    std::function<void(const instance_id&, const known_tables&, time_point askedAt)> noticeTables;
+    /// A node reported the state of its store tables in response to a request sent at this time.
+    std::function<void(const instance_id&, const table_statements&, time_point askedAt)> onTableStatements;
 };
 
-/// Asks other nodes whether they are there: those of the own service regularly, so that the keys of a lost one are
-/// noticed without requests, and unreachable ones when a request would need them.
+/// Health checks of other nodes. Nodes of the own service are pinged regularly, so that the loss of an owner is
+/// detected without requests for its keys; unreachable nodes are probed when a request needs them.
 class peer_watch {
 public:
     peer_watch(event_base*, const mesh_settings&, mesh_directory&, peer_watch_hooks);
 
     void start();
-    /// Asks an unreachable node, unless it was asked shortly before.
+    /// Pings a node, unless it was probed within the last interval.
     void probe(const instance_id&);
 
     static constexpr const char* target = "/heatherdrift/ping";
@@ -38,7 +38,7 @@
     const mesh_settings& m_settings;
     mesh_directory& m_directory;
     peer_watch_hooks m_hooks;
-    std::set<instance_id> m_asked; ///< Nodes whose answer is awaited.
+    std::set<instance_id> m_pendingPings; ///< Nodes whose response is pending.
     std::map<instance_id, time_point> m_mayProbeAt;
     timer m_tick;
 };
--- a/src/mesh/internal/range_balancer.cpp
+++ b/src/mesh/internal/range_balancer.cpp
@@ -12,15 +12,15 @@
 namespace {
 
     constexpr auto reportInterval = std::chrono::milliseconds(700); ///< Hot keys change within seconds.
-    constexpr auto reportTimeout = std::chrono::milliseconds(300); ///< A node answers within milliseconds.
-    constexpr auto mostReportAge = std::chrono::milliseconds(1600); ///< Two intervals and the way of a report.
+    constexpr auto reportTimeout = std::chrono::milliseconds(300); ///< A node responds within milliseconds.
+    constexpr auto maxReportAge = std::chrono::milliseconds(1600); ///< Two report intervals plus transmission time.
     constexpr auto planInterval = std::chrono::milliseconds(700);
-    /// Time constant of measured key loads, after which an owner's report contains what was moved to it.
-    constexpr auto loadMemory = std::chrono::milliseconds(1500);
-    constexpr auto passOverTime = std::chrono::seconds(2); ///< Of a node that could not plan.
-    constexpr double demandToReport = 0.65; ///< Somewhat below the demand at which an owner gives keys away.
-    /// Enough for a hot range of some 200 keys; the rest is too light to matter.
-    constexpr std::size_t mostReportedKeys = 320;
+    /// Time constant of the load measurement, within which an owner's report comes to include keys moved to it.
+    constexpr auto loadTimeConstant = std::chrono::milliseconds(1500);
+    constexpr auto plannerBackoff = std::chrono::seconds(2); ///< For a node that failed to accept a report.
+    constexpr double demandToReport = 0.65; ///< Slightly below the demand at which keys are moved away from an owner.
+    /// Covers a hot range of about 200 keys; the load of the remaining keys is negligible.
+    constexpr std::size_t maxReportedKeys = 320;
     constexpr std::size_t answerLimitBytes = 1024;
     constexpr int statusUnavailable = 503;
     constexpr int statusBadRequest = 400;
@@ -65,11 +65,11 @@
 std::optional<instance_id> range_balancer::planner(const std::vector<owner_candidate>& candidates, time_point now) const
 {
     for (const auto& candidate : candidates) {
-        const auto found = m_passedOverUntil.find(candidate.node);
-        const bool isPassedOver = found != m_passedOverUntil.end() && now < found->second;
+        const auto found = m_skippedUntil.find(candidate.node);
+        const bool isSkipped = found != m_skippedUntil.end() && now < found->second;
         const bool isUnable = candidate.node == m_settings.node && !m_hooks.isStoreAvailable();
-        // Only owners are asked for promises, so only they know whose keys must stay where they are.
-        if (!isPassedOver && !isUnable && m_hooks.isOwner(candidate.range.life))
+        // Promises are requested only from owners, so only they know which keys must not be moved.
+        if (!isSkipped && !isUnable && m_hooks.isOwner(candidate.range.life))
             return candidate.node;
     }
     return std::nullopt;
@@ -88,7 +88,7 @@
     if (planner(candidates, now) != m_settings.node)
         return false;
     return ownDemand(candidates) >= demandToReport || std::ranges::any_of(m_reports, [&](const auto& entry) {
-        return now - entry.second.receivedAt < mostReportAge;
+        return now - entry.second.receivedAt < maxReportAge;
     });
 }
 
@@ -102,9 +102,9 @@
     const auto node = planner(candidates, now);
     if (!node)
         return;
-    const load_report own { self->range.life, self->range.load, m_hooks.keyLoad().heaviest(mostReportedKeys, now) };
+    const load_report own { self->range.life, self->range.load, m_hooks.keyLoad().heaviest(maxReportedKeys, now) };
     if (*node == m_settings.node)
-        return adopt(own, now);
+        return storeReport(own, now);
     m_isReporting = true;
     http_request request { "PUT", target, { { targetNodeHeader, *node } }, toJson(own) };
     fetch(m_directory.client(*node), std::move(request), now + reportTimeout, answerLimitBytes,
@@ -113,11 +113,11 @@
             if (answer.has_value() && answer.value().head.status == 200)
                 return;
             // The next report goes to the next node in order.
-            m_passedOverUntil[node] = m_hooks.now() + passOverTime;
+            m_skippedUntil[node] = m_hooks.now() + plannerBackoff;
         });
 }
 
-void range_balancer::take(const http_exchange_ptr& exchange)
+void range_balancer::handleReport(const http_exchange_ptr& exchange)
 {
     const auto report = parseLoadReport(exchange->request().body);
     if (report.has_error()) {
@@ -126,20 +126,20 @@
     }
     if (!m_hooks.isStoreAvailable())
         return exchange->respond({ { statusUnavailable, {} }, "" });
-    adopt(report.value(), m_hooks.now());
+    storeReport(report.value(), m_hooks.now());
     exchange->respond({});
 }
 
-void range_balancer::adopt(const load_report& report, time_point now)
+void range_balancer::storeReport(const load_report& report, time_point now)
 {
-    key_load keys(loadMemory);
+    key_load keys(loadTimeConstant);
     for (const auto& [key, load] : report.keys)
         keys.add(key, load, now);
-    m_reports.insert_or_assign(report.life, known_report { report.demand, std::move(keys), now });
+    m_reports.insert_or_assign(report.life, received_report { report.demand, std::move(keys), now });
 }
 
 double range_balancer::demandIn(
-    const range_map& map, const life_name& life, const known_report& report, time_point now) const
+    const range_map& map, const life_name& life, const received_report& report, time_point now) const
 {
     const double total = report.keys.total(now);
     if (total <= 0)
@@ -152,30 +152,31 @@
     return report.demand * owned / total;
 }
 
-double range_balancer::arriving(const life_name& life, time_point now) const
+double range_balancer::pendingDemand(const life_name& life, time_point now) const
 {
     const auto found = m_moved.find(life);
     if (found == m_moved.end())
         return 0;
     double sum = 0;
     for (const auto& one : found->second) {
-        const double age = std::chrono::duration<double>(now - one.movedAt) / std::chrono::duration<double>(loadMemory);
+        const double age
+            = std::chrono::duration<double>(now - one.movedAt) / std::chrono::duration<double>(loadTimeConstant);
         sum += one.demand * std::exp(-age);
     }
     return sum;
 }
 
-void range_balancer::countMoves(const range_map& before, const range_map& after, time_point now)
+void range_balancer::recordMoves(const range_map& before, const range_map& after, time_point now)
 {
     for (auto& [life, moves] : m_moved)
-        std::erase_if(moves, [&](const moved_demand& one) { return now - one.movedAt > 4 * loadMemory; });
+        std::erase_if(moves, [&](const moved_demand& one) { return now - one.movedAt > 4 * loadTimeConstant; });
     std::erase_if(m_moved, [](const auto& entry) { return entry.second.empty(); });
     for (const auto& range : after.ranges()) {
-        const auto& giver = before.find(range.keys.first).owner;
-        const auto known = m_reports.find(giver);
-        if (giver == range.owner || known == m_reports.end())
+        const auto& previousOwner = before.find(range.keys.first).owner;
+        const auto found = m_reports.find(previousOwner);
+        if (previousOwner == range.owner || found == m_reports.end())
             continue;
-        const auto& [demand, keys, receivedAt] = known->second;
+        const auto& [demand, keys, receivedAt] = found->second;
         const double total = keys.total(now);
         if (total > 0)
             m_moved[range.owner].push_back({ demand * keys.of(range.keys, now) / total, now });
@@ -185,18 +186,18 @@
 range_map range_balancer::balance(const range_map& map, fencing_token fence, time_point now)
 {
     m_plan.reset();
-    std::erase_if(m_reports, [&](const auto& entry) { return now - entry.second.receivedAt > mostReportAge; });
+    std::erase_if(m_reports, [&](const auto& entry) { return now - entry.second.receivedAt > maxReportAge; });
     if (m_reports.empty() || now < m_mayPlanAt)
         return map;
     std::vector<owner_demand> owners;
     for (const auto& candidate : m_hooks.candidates()) {
         const auto& life = candidate.range.life;
-        const auto known = m_reports.find(life);
-        if (known == m_reports.end() && !candidate.hasRecentLoad)
+        const auto found = m_reports.find(life);
+        if (found == m_reports.end() && !candidate.hasRecentLoad)
             continue;
-        const bool isReported = known != m_reports.end();
-        const double demand = isReported ? demandIn(map, life, known->second, now) : candidate.range.load;
-        owners.push_back({ { life, demand + arriving(life, now) }, isReported ? &known->second.keys : nullptr });
+        const bool isReported = found != m_reports.end();
+        const double demand = isReported ? demandIn(map, life, found->second, now) : candidate.range.load;
+        owners.push_back({ { life, demand + pendingDemand(life, now) }, isReported ? &found->second.keys : nullptr });
     }
     auto out = balanceLoad(map, owners, {}, fence, now);
     if (out != map)
@@ -204,12 +205,12 @@
     return out;
 }
 
-// A plan whose write met a conflict is made again on top of the newer map.
-void range_balancer::written(time_point now)
+// After a write conflict this is not called; balance() then plans again from the newer map.
+void range_balancer::onWritten(time_point now)
 {
     if (!m_plan)
         return;
-    countMoves(m_plan->first, m_plan->second, now);
+    recordMoves(m_plan->first, m_plan->second, now);
     m_plan.reset();
     m_mayPlanAt = now + planInterval;
 }
--- a/src/mesh/internal/range_replicas.cpp
+++ b/src/mesh/internal/range_replicas.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-    constexpr auto fetchTimeout = std::chrono::milliseconds(300); ///< A slower node is not worth waiting for.
-    constexpr auto refreshInterval = std::chrono::milliseconds(200); ///< Bounds the questions while keys have no owner.
+    constexpr auto fetchTimeout = std::chrono::milliseconds(300); ///< Another node is asked instead of waiting longer.
+    constexpr auto refreshInterval = std::chrono::milliseconds(200); ///< Limits the requests while keys have no owner.
     constexpr std::size_t answerLimitBytes = 4u << 20;
 
 } // namespace
@@ -40,8 +40,8 @@
 
 const range_map* range_replicas::find(const std::string& service, time_point now)
 {
-    const auto found = m_known.find(service);
-    if (found != m_known.end())
+    const auto found = m_maps.find(service);
+    if (found != m_maps.end())
         return &found->second.map;
     refresh(service, now);
     return nullptr;
@@ -57,16 +57,16 @@
     fetchFrom(service, available[m_nextNode++ % available.size()]->member.node);
 }
 
-void range_replicas::notice(const std::string& service, const instance_id& node, row_version version)
+void range_replicas::handleVersion(const std::string& service, const instance_id& node, row_version version)
 {
-    const auto found = m_known.find(service);
-    if (version > 0 && (found == m_known.end() || found->second.version < version))
+    const auto found = m_maps.find(service);
+    if (version > 0 && (found == m_maps.end() || found->second.version < version))
         fetchFrom(service, node);
 }
 
 void range_replicas::fetchFrom(const std::string& service, const instance_id& node)
 {
-    // The node may have been removed while its answer was on the way.
+    // The node may have been removed since it sent the response that led here.
     if (!m_directory.find(node) || !m_fetching.insert(service).second)
         return;
     http_request request;
@@ -78,9 +78,9 @@
             if (answer.has_error() || answer.value().head.status != 200)
                 return;
             auto ranges = parseVersionedRanges(answer.value().body);
-            auto& known = m_known[service];
-            if (ranges.has_value() && ranges.value().version > known.version)
-                known = std::move(ranges).value();
+            auto& copy = m_maps[service];
+            if (ranges.has_value() && ranges.value().version > copy.version)
+                copy = std::move(ranges).value();
         });
 }
 
--- a/src/mesh/internal/range_replicas.h
+++ b/src/mesh/internal/range_replicas.h
@@ -9,7 +9,7 @@
 
 namespace heatherdrift {
 
-/// Range map with its version, as nodes send it to each other.
+/// Range map with its version, as sent between nodes.
 struct versioned_ranges {
     row_version version = 0;
     range_map map;
@@ -18,18 +18,18 @@
 std::string toJson(const versioned_ranges&);
 result<versioned_ranges> parseVersionedRanges(std::string_view);
 
-/// Range maps of other services. They are fetched from the nodes of the service when an answer names a newer version,
-/// which costs no call to the store.
+/// Copies of the range maps of other services. A map is fetched from a node of the service when a response names a
+/// newer version, so that no call to the store is needed.
 class range_replicas {
 public:
     range_replicas(const mesh_settings&, mesh_directory&);
 
-    /// Null if none is known yet; one is asked for then.
+    /// Null if there is no copy yet; a fetch is started then.
     const range_map* find(const std::string& service, time_point now);
-    /// The known map names no owner that answers: a newer one is asked for, from one node after the other.
+    /// Fetches the map again because no owner in the copy is reachable. Successive calls ask the nodes in turn.
     void refresh(const std::string& service, time_point now);
-    /// A node of the service knows a map of this version.
-    void notice(const std::string& service, const instance_id& node, row_version);
+    /// Fetches the map from this node of the service if the given version is newer than the copy.
+    void handleVersion(const std::string& service, const instance_id& node, row_version);
 
     static constexpr const char* target = "/heatherdrift/ranges";
 
@@ -37,11 +37,11 @@
     void fetchFrom(const std::string& service, const instance_id& node);
 
     mesh_directory& m_directory;
-    std::map<std::string, versioned_ranges> m_known;
+    std::map<std::string, versioned_ranges> m_maps;
     std::map<std::string, time_point> m_mayRefreshAt;
-    /// Starts at another one for each node, or all nodes of a new system would ask the same one at once.
+    /// Starts at a different index on each node; otherwise all nodes of a new system would ask the same one at once.
     std::size_t m_nextNode;
-    std::set<std::string> m_fetching; ///< Services whose map is on its way.
+    std::set<std::string> m_fetching; ///< Services whose map is being fetched.
 };
 
 } // namespace heatherdrift
--- a/src/mesh/internal/table_copy.cpp
+++ b/src/mesh/internal/table_copy.cpp
@@ -7,17 +7,17 @@
 
 std::vector<row_change> table_copy::apply(const std::vector<row_change>& rows)
 {
-    std::vector<row_change> news;
-    const auto known = m_newestChange;
+    std::vector<row_change> changes;
+    const auto previousNewest = m_newestChange;
     for (const auto& row : rows) {
-        // An older state of a row may belong to one that is removed by now.
-        if (row.version <= known || row.version <= m_rows[row.key].version)
+        // An older version of a row may belong to a row that has been removed since.
+        if (row.version <= previousNewest || row.version <= m_rows[row.key].version)
             continue;
         m_rows[row.key] = row;
         m_newestChange = std::max(m_newestChange, row.version);
-        news.push_back(row);
+        changes.push_back(row);
     }
-    return news;
+    return changes;
 }
 
 std::vector<row_change> table_copy::replace(const row_snapshot& snapshot)
@@ -30,11 +30,11 @@
     }
     std::vector<row_change> rows = snapshot.rows;
     for (const auto& [key, row] : m_rows) {
-        // The removal changed another row, so it is not newer than the newest one.
+        // The removal also changed another row, so its version is at most that of the newest row.
         if (row.value && !present.contains(key))
             rows.push_back({ key, newest, std::nullopt });
     }
-    m_removalsKnownFrom = newest;
+    m_removalHistoryStart = newest;
     m_version = std::max(m_version, snapshot.version);
     return apply(rows);
 }
@@ -45,18 +45,18 @@
     return apply(snapshot.rows);
 }
 
-std::vector<row_change> table_copy::take(const table_news& news)
+std::vector<row_change> table_copy::applyUpdate(const table_update& update)
 {
-    if (news.rows.version <= m_newestChange)
+    if (update.rows.version <= m_newestChange)
         return {};
-    return news.isWhole ? replace(news.rows) : merge(news.rows);
+    return update.isWhole ? replace(update.rows) : merge(update.rows);
 }
 
-table_news table_copy::newsAfter(row_version newestChange) const
+table_update table_copy::updateAfter(row_version newestChange) const
 {
-    table_news out;
+    table_update out;
     out.rows.version = m_newestChange;
-    out.isWhole = newestChange < m_removalsKnownFrom;
+    out.isWhole = newestChange < m_removalHistoryStart;
     for (const auto& [key, row] : m_rows) {
         if (out.isWhole ? row.value.has_value() : row.version > newestChange)
             out.rows.rows.push_back(row);
--- a/src/mesh/internal/table_copy.h
+++ b/src/mesh/internal/table_copy.h
@@ -6,30 +6,30 @@
 
 namespace heatherdrift {
 
-/// What a node tells another one of a table.
-struct table_news {
+/// Changes of a table, or all of its rows, as sent between nodes.
+struct table_update {
     row_snapshot rows; ///< Its version is that of the newest change.
-    bool isWhole = false; ///< All rows, instead of the changes that were asked for.
+    bool isWhole = false; ///< Contains all rows instead of only the requested changes.
 
-    bool operator==(const table_news&) const = default;
+    bool operator==(const table_update&) const = default;
 };
 
-/// Rows of one table of the store as a node knows them, without gaps up to a version.
+/// Copy of one table of the store that contains all changes up to a version.
 ///
-/// Two copies with the same newest change are equal. For this, each removal of a row has to change another row of the
-/// table in the same write: a node that reads the table later would see no trace of the removal otherwise.
+/// Two copies with the same newest change are equal. This requires that each removal of a row changes another row of
+/// the table in the same write; otherwise a node that reads the table later could not detect the removal.
 class table_copy {
 public:
-    /// Takes in the whole table; rows that it does not contain are removed. Returns what is new.
+    /// Applies a snapshot of the whole table and removes rows that it does not contain. Returns the changed rows.
     std::vector<row_change> replace(const row_snapshot&);
-    /// Takes in all changes after an earlier version() or newestChange(). Returns what is new.
+    /// Applies all changes after an earlier version() or newestChange(). Returns the changed rows.
     std::vector<row_change> merge(const row_snapshot&);
-    /// Takes in what another node tells. Returns what is new.
-    std::vector<row_change> take(const table_news&);
+    /// Applies an update from another node. Returns the changed rows.
+    std::vector<row_change> applyUpdate(const table_update&);
 
-    /// What a node does not know whose newest change is this one.
-    table_news newsAfter(row_version newestChange) const;
-    /// All changes up to this version of the store are known.
+    /// The update for a node whose newest change is this one.
+    table_update updateAfter(row_version newestChange) const;
+    /// Version of the store up to which the copy contains all changes.
     row_version version() const { return m_version; }
     /// Version of the newest change of this table.
     row_version newestChange() const { return m_newestChange; }
@@ -37,10 +37,10 @@
 private:
     std::vector<row_change> apply(const std::vector<row_change>&);
 
-    std::map<row_key, row_change> m_rows; ///< Includes rows that were removed.
+    std::map<row_key, row_change> m_rows; ///< Includes tombstones of removed rows.
     row_version m_version = 0;
     row_version m_newestChange = 0;
-    row_version m_removalsKnownFrom = 0; ///< Rows that were removed before are not among the rows.
+    row_version m_removalHistoryStart = 0; ///< Tombstones of earlier removals are missing from the rows.
 };
 
 } // namespace heatherdrift
--- a/src/mesh/internal/table_exchange.cpp
+++ b/src/mesh/internal/table_exchange.cpp
@@ -10,8 +10,10 @@
 
 namespace {
 
-    constexpr auto fetchTimeout = std::chrono::milliseconds(300); ///< A slower node is not worth waiting for.
-    constexpr auto tickInterval = std::chrono::milliseconds(200); ///< Of nodes whose requests tell them nothing.
+    constexpr auto fetchTimeout = std::chrono::milliseconds(
+        300); ///< Later responses are not awaited; any further response triggers a new fetch.
+    constexpr auto tickInterval
+        = std::chrono::milliseconds(200); ///< Check interval for nodes that get no table state with their requests.
     constexpr std::size_t answerLimitBytes = 4u << 20;
     constexpr const char* tableHeader = "heatherdrift-table";
     constexpr const char* afterHeader = "heatherdrift-after";
@@ -34,22 +36,22 @@
 
 } // namespace
 
-std::string encodeNews(const table_news& news)
+std::string encodeUpdate(const table_update& update)
 {
     json rows = json::array();
-    for (const auto& row : news.rows.rows) {
+    for (const auto& row : update.rows.rows) {
         json entry { { "table", row.key.table }, { "key", row.key.key }, { "version", row.version } };
         if (row.value)
             entry["value"] = *row.value;
         rows.push_back(std::move(entry));
     }
-    return json { { "version", news.rows.version }, { "whole", news.isWhole }, { "rows", std::move(rows) } }.dump();
+    return json { { "version", update.rows.version }, { "whole", update.isWhole }, { "rows", std::move(rows) } }.dump();
 }
 
-result<table_news> decodeNews(std::string_view text)
+result<table_update> decodeUpdate(std::string_view text)
 {
     BOOST_OUTCOME_TRY(document, parseJson(text, error_code::bad_request));
-    table_news out;
+    table_update out;
     json_reader reader(document, "", error_code::bad_request);
     reader.readInteger("version", out.rows.version, { 0, INT64_MAX });
     reader.readBool("whole", out.isWhole);
@@ -80,7 +82,7 @@
 
 void table_exchange::start() { m_tick.startRepeating(tickInterval); }
 
-std::optional<known_tables> table_exchange::statement() const
+std::optional<table_statements> table_exchange::statement() const
 {
     if (!m_configuration.isRead() || !m_members.isRead())
         return std::nullopt;
@@ -88,7 +90,7 @@
     const auto of = [now](const table_watcher& table) {
         return table_statement { table.copy().newestChange(), now - table.currentAt() };
     };
-    return known_tables { of(m_configuration), of(m_members) };
+    return table_statements { of(m_configuration), of(m_members) };
 }
 
 fleet_place table_exchange::place() const
@@ -96,7 +98,7 @@
     const auto now = boot_clock::now();
     fleet_place place;
     for (const auto& [node, peer] : m_directory.peers()) {
-        // This node itself is not among them before its backend server has announced itself.
+        // This node is skipped because the directory lists it only after the first announcement of its backend server.
         if (node == m_settings.node || m_directory.isUnreachable(peer, now))
             continue;
         ++place.nodes;
@@ -105,24 +107,24 @@
     return place;
 }
 
-void table_exchange::notice(const instance_id& node, const known_tables& tables, time_point askedAt)
+void table_exchange::handleStatements(const instance_id& node, const table_statements& tables, time_point askedAt)
 {
-    notice(m_configuration, node, tables.configuration, askedAt);
-    notice(m_members, node, tables.members, askedAt);
+    handleStatement(m_configuration, node, tables.configuration, askedAt);
+    handleStatement(m_members, node, tables.members, askedAt);
 }
 
-void table_exchange::notice(
+void table_exchange::handleStatement(
     table_watcher& table, const instance_id& node, const table_statement& statement, time_point askedAt)
 {
     if (statement.newestChange > table.copy().newestChange())
         return fetchFrom(table, node);
-    // The other node's rows are not newer, so that this one's were those in the store at that time, too.
+    // The other node has no newer rows, so this node's copy was also current at that time.
     table.confirm(askedAt - statement.age);
 }
 
 void table_exchange::fetchFrom(table_watcher& table, const instance_id& node)
 {
-    // The node may have been removed while its answer was on the way.
+    // The node may have been removed since it sent the response that led here.
     if (!m_directory.find(node) || !m_fetching.insert(table.table()).second)
         return;
     http_request request;
@@ -133,15 +135,16 @@
     fetch(m_directory.client(node), std::move(request), boot_clock::now() + fetchTimeout, answerLimitBytes,
         [this, &table, node](const result<http_response>& answer) {
             m_fetching.erase(table.table());
-            // Each further answer of a node that knows more leads to another attempt.
+            // After a failure, the next response of a node with newer rows starts another fetch.
             if (answer.has_error() || answer.value().head.status != 200)
                 return;
-            const auto news = decodeNews(answer.value().body);
-            if (news.has_error()) {
-                logEvent(log_event::peer_message_rejected, { { "target", node }, { "reason", news.error().message } });
+            const auto update = decodeUpdate(answer.value().body);
+            if (update.has_error()) {
+                logEvent(
+                    log_event::peer_message_rejected, { { "target", node }, { "reason", update.error().message } });
                 return;
             }
-            table.take(news.value());
+            table.applyUpdate(update.value());
         });
 }
 
@@ -154,7 +157,7 @@
     const bool isNumber = std::from_chars(text.data(), text.data() + text.size(), after).ec == std::errc();
     for (const auto* table : { &m_configuration, &m_members }) {
         if (isNumber && table->table() == name && table->isRead())
-            return exchange->respond({ { 200, {} }, encodeNews(table->copy().newsAfter(after)) });
+            return exchange->respond({ { 200, {} }, encodeUpdate(table->copy().updateAfter(after)) });
     }
     exchange->respond({ { statusNotFound, {} }, "" });
 }
--- a/src/mesh/internal/table_watcher.cpp
+++ b/src/mesh/internal/table_watcher.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-    /// Way of a question to the store and back, beside the time that it waits there.
+    /// Round trip of a watch request, in addition to the time that it waits at the store.
     constexpr auto watchSlack = std::chrono::milliseconds(500);
-    constexpr int mostFailures = 1000; ///< Only the first few matter.
+    constexpr int maxFailures = 1000; ///< The backoff depends only on the first few.
 
 } // namespace
 
 table_watcher::table_watcher(
-    event_base* base, watched_store& store, std::string table, const watch_terms& terms, table_watcher_hooks hooks)
+    event_base* base, watched_store& store, std::string table, const watch_timing& timing, table_watcher_hooks hooks)
     : m_store(store)
     , m_table(std::move(table))
-    , m_terms(terms)
+    , m_timing(timing)
     , m_hooks(std::move(hooks))
     , m_timer(base, [this] { askIfDue(); })
 {
@@ -26,94 +26,95 @@
 
 watch_state table_watcher::state() const
 {
-    return { m_hooks.place(), m_currentAt, m_answeredAt, m_failures, m_hasNews };
+    return { m_hooks.place(), m_currentAt, m_answeredAt, m_failures, m_hasChanges };
 }
 
-watch_question table_watcher::next() const { return nextQuestion(m_terms, state(), m_chance); }
+watch_request table_watcher::next() const { return nextRequest(m_timing, state(), m_jitter); }
 
 void table_watcher::schedule()
 {
-    m_chance = m_hooks.random();
+    m_jitter = m_hooks.random();
     m_timer.startAt(next().at);
 }
 
 void table_watcher::askIfDue()
 {
-    // Other nodes may have told of the table since the question was scheduled.
-    const auto question = next();
-    if (question.at > boot_clock::now())
-        return m_timer.startAt(question.at);
+    // Other nodes may have confirmed the copy since the request was scheduled.
+    const auto request = next();
+    if (request.at > boot_clock::now())
+        return m_timer.startAt(request.at);
     if (m_needsRead)
         return read();
-    watch(question.wait);
+    watch(request.wait);
 }
 
 void table_watcher::read()
 {
     const auto now = boot_clock::now();
-    m_store.read(m_table, now + m_terms.readTimeout, [this, now](const result<row_snapshot>& snapshot) {
+    m_store.read(m_table, now + m_timing.readTimeout, [this, now](const result<row_snapshot>& snapshot) {
         if (snapshot.has_error())
-            return failed(snapshot.error());
-        // An old answer must not undo what is known already.
+            return handleFailure(snapshot.error());
+        // An outdated response must not undo newer changes.
         if (snapshot.value().version < m_copy.version())
-            return failed({ verdict::not_run, error_code::store_unavailable, "an old state of the table" });
+            return handleFailure({ verdict::not_run, error_code::store_unavailable,
+                "the store returned an older version of the table" });
         m_needsRead = false;
         m_isRead = true;
-        tell(m_copy.replace(snapshot.value()));
+        notifyRows(m_copy.replace(snapshot.value()));
         if (m_hooks.onRead)
             m_hooks.onRead();
-        answered(!snapshot.value().rows.empty(), now);
+        handleAnswer(!snapshot.value().rows.empty(), now);
     });
 }
 
 void table_watcher::watch(duration wait)
 {
     const auto now = boot_clock::now();
-    const auto slack = std::max<duration>(watchSlack, m_terms.readTimeout - wait);
+    const auto slack = std::max<duration>(watchSlack, m_timing.readTimeout - wait);
     m_store.watch(
         m_table, m_copy.version(), wait, now + wait + slack, [this, wait, now](const result<row_snapshot>& changes) {
             if (changes.has_error())
-                return failed(changes.error());
-            const bool hasNews = !changes.value().rows.empty();
-            tell(m_copy.merge(changes.value()));
-            // Without a change, the store answered after the whole wait.
-            answered(hasNews, hasNews ? now : now + wait);
+                return handleFailure(changes.error());
+            const bool hasChanges = !changes.value().rows.empty();
+            notifyRows(m_copy.merge(changes.value()));
+            // Without a change, the store responded after the whole wait, so the copy was current at its end.
+            handleAnswer(hasChanges, hasChanges ? now : now + wait);
         });
 }
 
-void table_watcher::answered(bool hasNews, time_point currentAt)
+void table_watcher::handleAnswer(bool hasChanges, time_point currentAt)
 {
     setAvailable(true);
     m_answeredAt = boot_clock::now();
     m_failures = 0;
-    m_hasNews = hasNews;
+    m_hasChanges = hasChanges;
     m_currentAt = std::max(m_currentAt, currentAt);
     schedule();
 }
 
-void table_watcher::failed(const failure& reason)
+void table_watcher::handleFailure(const failure& reason)
 {
     m_answeredAt = boot_clock::now();
-    // The store answers, but no longer knows the changes since this copy.
+    // The store responded, but its history no longer reaches back to the version of this copy.
     const bool isHistoryLost = reason.code == error_code::not_found;
     m_needsRead = m_needsRead || isHistoryLost;
-    m_failures = isHistoryLost ? 0 : std::min(m_failures + 1, mostFailures);
+    m_failures = isHistoryLost ? 0 : std::min(m_failures + 1, maxFailures);
     setAvailable(isHistoryLost);
     schedule();
 }
 
-bool table_watcher::needsReader(time_point now) const { return m_isRead && asksReader(m_terms, state(), now); }
+bool table_watcher::needsReader(time_point now) const { return m_isRead && isReaderRequestDue(m_timing, state(), now); }
 
-void table_watcher::tell(const std::vector<row_change>& news)
+void table_watcher::notifyRows(const std::vector<row_change>& changes)
 {
-    for (const auto& row : news)
+    for (const auto& row : changes)
         m_hooks.onRow(row);
 }
 
-void table_watcher::take(const table_news& news)
+void table_watcher::applyUpdate(const table_update& update)
 {
     if (m_isRead)
-        tell(m_copy.take(news));
+        notifyRows(m_copy.applyUpdate(update));
 }
 
 void table_watcher::confirm(time_point at)
--- a/src/mesh/internal/table_watcher.h
+++ b/src/mesh/internal/table_watcher.h
@@ -8,32 +8,32 @@
 namespace heatherdrift {
 
 struct table_watcher_hooks {
-    std::function<void(const row_change&)> onRow; ///< Newer than any earlier state of the row.
-    std::function<void()> onRead; ///< The whole table was read.
+    std::function<void(const row_change&)> onRow; ///< Called with a newer version of the row than in any earlier call.
+    std::function<void()> onRead; ///< Called after a read of the whole table.
     std::function<void(bool isAvailable)> onAvailability;
     std::function<fleet_place()> place;
     random_function random;
 };
 
-/// Follows one table of the store: reads it, then learns of its changes from the store or from other nodes, and reads
-/// it anew when changes were missed.
+/// Keeps a copy of one table of the store up to date: reads it once, then applies changes from the store or from other
+/// nodes, and reads it again when changes were missed.
 class table_watcher {
 public:
-    table_watcher(event_base*, watched_store&, std::string table, const watch_terms&, table_watcher_hooks);
+    table_watcher(event_base*, watched_store&, std::string table, const watch_timing&, table_watcher_hooks);
 
     void start();
     const std::string& table() const { return m_table; }
     const table_copy& copy() const { return m_copy; }
-    /// Whether the whole table was read once.
+    /// Whether the whole table has been read.
     bool isRead() const { return m_isRead; }
-    /// Latest time at which the known rows were those in the store; zero: never.
+    /// Latest time at which the copy is known to have matched the store; zero if never.
     time_point currentAt() const { return m_currentAt; }
-    /// Whether another node should be asked now, before this one asks the store.
+    /// Whether to ask a reader now, before the request to the store is due.
     bool needsReader(time_point now) const;
 
-    /// What another node knows and this one did not.
-    void take(const table_news&);
-    /// Another node knows no newer change, and its rows were those in the store at this time.
+    /// Applies changes from another node.
+    void applyUpdate(const table_update&);
+    /// Called when another node has no newer change and its copy matched the store at this time.
     void confirm(time_point);
 
 private:
@@ -41,26 +41,26 @@
     void askIfDue();
     void read();
     void watch(duration wait);
-    void answered(bool hasNews, time_point currentAt);
-    void failed(const failure&);
-    void tell(const std::vector<row_change>&);
+    void handleAnswer(bool hasChanges, time_point currentAt);
+    void handleFailure(const failure&);
+    void notifyRows(const std::vector<row_change>&);
     void setAvailable(bool);
     watch_state state() const;
-    watch_question next() const;
+    watch_request next() const;
 
     watched_store& m_store;
     std::string m_table;
-    watch_terms m_terms;
+    watch_timing m_timing;
     table_watcher_hooks m_hooks;
     table_copy m_copy;
     time_point m_currentAt {};
     time_point m_answeredAt {};
     int m_failures = 0;
-    bool m_hasNews = false;
+    bool m_hasChanges = false;
     bool m_needsRead = true;
     bool m_isRead = false;
     bool m_isAvailable = true;
-    double m_chance = 0; ///< Spreads the questions of the nodes; drawn for each question.
+    double m_jitter = 0; ///< Spreads the requests of the nodes in time; drawn for each request.
     timer m_timer;
 };
 
--- a/src/mesh/internal/watch_schedule.cpp
+++ b/src/mesh/internal/watch_schedule.cpp
@@ -6,17 +6,19 @@
 
 namespace {
 
-    /// Nodes that look soon for the end of an outage; they tell the others, which look rarely.
+    /// Nodes that retry soon during an outage; the others retry rarely and get the changes from them.
     constexpr std::size_t probers = 6;
     constexpr auto proberBackoff = std::chrono::milliseconds(400);
     constexpr auto firstBackoff = std::chrono::milliseconds(100);
     constexpr auto othersBackoff = std::chrono::milliseconds(2000);
-    /// After a change it is not known how long ago the store sent it; a short question tells that the table is current.
-    constexpr auto briefWait = std::chrono::milliseconds(50);
-    constexpr int aloneFactor = 5; ///< All nodes are without others when a new system starts.
-    constexpr auto longestWait = std::chrono::seconds(20); ///< Stores end a longer wait.
-    /// Nodes that lost their readers do not all ask at once: the first answers reach the others meanwhile.
-    constexpr auto patienceSpread = std::chrono::milliseconds(250);
+    /// After a change it is not known when the store sent it; a request with a short wait shows that the copy is
+    /// current.
+    constexpr auto shortWait = std::chrono::milliseconds(50);
+    constexpr int singleNodeFactor
+        = 5; ///< Longer wait of a node that sees no others, as all nodes do when a new system starts.
+    constexpr auto maxWait = std::chrono::seconds(20); ///< Stores end longer waits themselves.
+    /// Spreads the requests of nodes that lost their readers: the first responses reach the other nodes in this time.
+    constexpr auto maxAgeJitter = std::chrono::milliseconds(250);
 
     duration backoff(const watch_state& state)
     {
@@ -28,28 +30,28 @@
 
 } // namespace
 
-watch_question nextQuestion(const watch_terms& terms, const watch_state& state, double random)
+watch_request nextRequest(const watch_timing& timing, const watch_state& state, double random)
 {
-    // A node that knows nothing yet asks at once.
-    const auto patienceEnd = state.currentAt == time_point()
+    // A node without a copy asks at once.
+    const auto maxAgeEnd = state.currentAt == time_point()
         ? time_point()
-        : state.currentAt + terms.patience + scaled(patienceSpread, random);
+        : state.currentAt + timing.maxAge + scaled(maxAgeJitter, random);
     if (state.failures > 0) {
         const auto retryAt = state.answeredAt + scaled(backoff(state), 0.75 + random / 4);
-        return { std::max(retryAt, patienceEnd), {} };
+        return { std::max(retryAt, maxAgeEnd), {} };
     }
     if (!state.place.isReader())
-        return { patienceEnd, {} };
-    const auto at = state.answeredAt + terms.batchTime;
-    // Nobody relies on what a node without others knows, so that it need not show that nothing has changed.
+        return { maxAgeEnd, {} };
+    const auto at = state.answeredAt + timing.batchTime;
+    // No other node depends on the copy of a single node, so it need not confirm often that nothing has changed.
     if (state.place.nodes == 1)
-        return { at, std::min<duration>(terms.readerWait * aloneFactor, longestWait) };
-    return { at, state.hasNews ? duration(briefWait) : terms.readerWait };
+        return { at, std::min<duration>(timing.readerWait * singleNodeFactor, maxWait) };
+    return { at, state.hasChanges ? duration(shortWait) : timing.readerWait };
 }
 
-bool asksReader(const watch_terms& terms, const watch_state& state, time_point now)
+bool isReaderRequestDue(const watch_timing& timing, const watch_state& state, time_point now)
 {
-    return !state.place.isReader() && now - state.currentAt > terms.readerPatience;
+    return !state.place.isReader() && now - state.currentAt > timing.readerMaxAge;
 }
 
 } // namespace heatherdrift
--- a/src/mesh/internal/watch_schedule.h
+++ b/src/mesh/internal/watch_schedule.h
@@ -4,54 +4,56 @@
 
 namespace heatherdrift {
 
-/// Where a node stands among those that answer, in the order of their names.
+/// Position of a node among the reachable nodes, in the order of their names.
 struct fleet_place {
-    std::size_t rank = 0; ///< Nodes before this one.
-    std::size_t nodes = 1; ///< Nodes that answer, with this one.
+    std::size_t rank = 0; ///< Reachable nodes before this one.
+    std::size_t nodes = 1; ///< Reachable nodes, including this one.
 
-    /// Nodes at the beginning of the order that keep asking the store: two, since one may be lost, and more in a large
-    /// fleet, whose other nodes would ask too much of two.
+    /// Number of nodes at the beginning of the order that poll the store: two, since one may be lost, and more in a
+    /// large fleet, where two could not serve the requests of all other nodes.
     std::size_t readers() const { return 2 + nodes / 64; }
     bool isReader() const { return rank < readers(); }
 
     bool operator==(const fleet_place&) const = default;
 };
 
-/// How soon the nodes learn of a change of a table. Sooner costs more calls to the store.
-struct watch_terms {
-    duration readerWait = std::chrono::milliseconds(1000); ///< How long a reader's question waits for a change.
-    duration batchTime {}; ///< Changes that follow each other within this time share one question.
-    duration patience = std::chrono::milliseconds(1450); ///< Age of knowledge at which any node asks the store.
-    /// Age of knowledge at which a node asks a reader, which costs less than a call to the store.
-    duration readerPatience = std::chrono::milliseconds(1050);
-    duration readTimeout = std::chrono::milliseconds(700); ///< Of a question that does not wait for a change.
-
-    bool operator==(const watch_terms&) const = default;
+/// Timing of the requests for changes of a table. Shorter times cost more calls to the store.
+struct watch_timing {
+    duration readerWait
+        = std::chrono::milliseconds(1000); ///< How long the store waits for a change in a reader's request.
+    duration batchTime {}; ///< Minimum time between requests, which batches successive changes.
+    duration maxAge = std::chrono::milliseconds(1450); ///< Age of the copy at which any node asks the store.
+    /// Age of the copy at which a node asks a reader, which costs less than a call to the store.
+    duration readerMaxAge = std::chrono::milliseconds(1050);
+    duration readTimeout = std::chrono::milliseconds(700); ///< For a request that does not wait for a change.
+
+    bool operator==(const watch_timing&) const = default;
 };
 
-/// What a node knows of a table.
+/// State of a node's copy of a table and of its requests to the store.
 struct watch_state {
     fleet_place place;
-    time_point currentAt {}; ///< Latest time at which the known rows were those in the store; zero: never.
-    time_point answeredAt {}; ///< End of the node's last own question to the store.
-    int failures = 0; ///< Of own questions since the last answer.
-    bool hasNews = false; ///< The last answer of the store had changes.
+    time_point currentAt {}; ///< Latest time at which the copy is known to have matched the store; zero if never.
+    time_point answeredAt {}; ///< End of the node's own last request to the store.
+    int failures = 0; ///< Failed requests since the last response of the store.
+    bool hasChanges = false; ///< The last response of the store contained changes.
 };
 
-/// A question to the store about changes of a table.
-struct watch_question {
-    time_point at {}; ///< When it is to be sent, unless other nodes tell of the table before.
-    duration wait {}; ///< How long the store waits for a change before it answers.
+/// A request to the store for changes of a table.
+struct watch_request {
+    time_point at {}; ///< Time to send it, unless other nodes confirm the copy before.
+    duration wait {}; ///< How long the store waits for a change before it responds.
 
-    bool operator==(const watch_question&) const = default;
+    bool operator==(const watch_request&) const = default;
 };
 
-/// Pattern "many nodes, one table": a few readers keep asking the store, and tell the others with the answers that
-/// nodes give each other anyway. A node that heard of nobody who asked lately asks itself, so that no reader is needed
-/// for it. The calls to the store do not grow with the nodes. random is uniform in [0, 1).
-watch_question nextQuestion(const watch_terms&, const watch_state&, double random);
+/// Next request of a node to the store. A few readers poll the store, and the other nodes get the changes through the
+/// responses that nodes send each other anyway, so that the calls to the store do not grow with the number of nodes.
+/// A node whose copy becomes too old asks the store itself and thus does not depend on any reader. random is uniform in
+/// [0, 1).
+watch_request nextRequest(const watch_timing&, const watch_state&, double random);
 
-/// Whether a node should ask a reader now, before it has to ask the store.
-bool asksReader(const watch_terms&, const watch_state&, time_point now);
+/// Whether a node should ask a reader now, before its own request to the store is due.
+bool isReaderRequestDue(const watch_timing&, const watch_state&, time_point now);
 
 } // namespace heatherdrift
--- a/src/mesh/member.h
+++ b/src/mesh/member.h
@@ -8,16 +8,16 @@
 
 namespace heatherdrift {
 
-/// A node with its backend server, as its row in the store tells.
+/// A node and its backend server, as stored in the member table.
 struct mesh_member {
     instance_id node;
     std::string zone;
-    endpoint address; ///< Where the node takes requests from other nodes.
+    endpoint address; ///< Listener for requests from other nodes.
     std::string service;
-    life_name life; ///< Of the backend server; empty before its first announcement.
+    life_name life; ///< Life of the backend server; empty before its first announcement.
     std::string backendId;
     int slots = 1;
-    bool isDraining = false; ///< The backend server leaves; it gets no new work.
+    bool isDraining = false; ///< The backend server is shutting down and gets no new requests.
 
     bool operator==(const mesh_member&) const = default;
 };
--- a/src/mesh/mesh_node.h
+++ b/src/mesh/mesh_node.h
@@ -9,7 +9,8 @@
 
 namespace heatherdrift {
 
-/// A node beside a backend server: takes requests of callers and of other nodes, and keeps the backend server's keys.
+/// The node beside one backend server: accepts requests from callers and from other nodes, and manages the ownership
+/// of the backend server's keys.
 class mesh_node {
 public:
     virtual ~mesh_node() = default;
@@ -18,11 +19,11 @@
     static result<std::unique_ptr<mesh_node>> create(
         event_base*, const mesh_settings&, platform_port, std::unique_ptr<watched_store>);
 
-    /// Runs until a stop has finished.
+    /// Runs the event loop until stop() has completed.
     virtual void run() = 0;
-    /// Applies changed times and shares; addresses and names stay until a restart.
+    /// Applies changed timeouts and ratios; addresses and names change only at a restart.
     virtual void reload(const mesh_settings&) = 0;
-    /// Takes no new callers, finishes what is in progress, then ends run().
+    /// Accepts no new callers, completes the requests in progress, then makes run() return.
     virtual void stop() = 0;
 };
 
--- a/src/mesh/platform_port.h
+++ b/src/mesh/platform_port.h
@@ -12,31 +12,31 @@
 
 namespace heatherdrift {
 
-/// What a caller's message says of the request it carries.
+/// Platform-specific fields of a caller's request.
 struct caller_request {
-    std::string id; ///< One attempt of a caller; empty if the caller gave none.
+    std::string id; ///< Identifies one attempt of a caller; empty if the caller sent none.
     std::string host;
     std::string path;
-    std::optional<duration> timeout; ///< How long the caller will wait.
+    std::optional<duration> timeout; ///< How long the caller waits for the response.
     std::optional<key_number> key;
 
     bool operator==(const caller_request&) const = default;
 };
 
-/// What the gate adds to a request on its way to the backend server.
+/// Fields that the gate adds to a request for the backend server.
 struct backend_call {
     std::string backendId; ///< The only backend server that may run it.
-    std::string callerService; ///< Service of the instance where the request began.
-    duration timeout {}; ///< Time that is left.
+    std::string callerService; ///< Service of the instance that received the request from the caller.
+    duration timeout {}; ///< Remaining time until the deadline.
 
     bool operator==(const backend_call&) const = default;
 };
 
-/// What a backend server's answer says.
+/// Platform-specific fields of a backend server's response.
 struct backend_answer {
-    std::string requestId; ///< Request that it answers; empty if it does not say.
+    std::string requestId; ///< Request that the response belongs to; empty if not stated.
     bool isNotExecuted = false; ///< The backend server states that it did not run the request.
-    bool isFromBackend = false; ///< Carries the mark of a backend server's own answer.
+    bool isFromBackend = false; ///< Carries the header that only the backend server itself adds to its responses.
 
     bool operator==(const backend_answer&) const = default;
 };
@@ -45,7 +45,8 @@
 struct backend_announcement {
     std::string id;
     std::int64_t startedAt = 0; ///< Milliseconds since 1970; a restart under the same id has a later one.
-    std::int64_t sequence = 0; ///< Grows within a life, so that a late announcement can be told.
+    std::int64_t sequence
+        = 0; ///< Increases within a life, so that announcements that arrive out of order are detected.
     std::string service;
     endpoint address;
     int slots = 1;
@@ -57,13 +58,13 @@
     bool operator==(const backend_announcement&) const = default;
 };
 
-/// Translates between the platform's messages and the project's types. Decides nothing.
+/// Translates between the platform's messages and the project's types; contains no policy.
 struct platform_port {
     std::function<result<caller_request>(const http_request&)> decodeRequest;
     std::function<void(http_headers&, const backend_call&)> addBackendHeaders;
     std::function<backend_answer(const http_response_head&)> decodeAnswer;
     std::function<result<backend_announcement>(const http_request&)> decodeAnnouncement;
-    /// Id of a backend server that says that it leaves; empty if the message says something else.
+    /// Id of a backend server that announces its shutdown; empty for any other message.
     std::function<std::optional<std::string>(const http_request&)> decodeDeparture;
     std::function<http_response(const hold_grant&)> encodeGrant;
     std::function<void(http_response_head&, duration)> addRetryAfter;
--- a/src/mesh/tests/forward_protocol_test.cpp
+++ b/src/mesh/tests/forward_protocol_test.cpp
@@ -25,8 +25,8 @@
         return out;
     }
 
-    // Guards against a hop that loses what decides over a request, or passes its own headers on to the backend server.
-    TEST(ForwardProtocol, RequestComesThroughWithoutTheHeadersOfTheHop)
+    // Guards against a hop that loses fields of a request or passes its own headers on to the backend server.
+    TEST(ForwardProtocol, RequestIsDecodedWithoutTheHeadersOfTheProtocol)
     {
         const auto sent = makeRequest();
         const auto received = decodeForward(encodeForward(sent, now), now);
@@ -44,15 +44,14 @@
         EXPECT_EQ(got.key, 77u);
     }
 
-    // Guards against a request of an outsider that is taken for one of a node.
+    // Guards against accepting a request that was not forwarded by a node.
     TEST(ForwardProtocol, PlainRequestIsRejected)
     {
         EXPECT_TRUE(decodeForward({ "GET", "/", {}, "" }, now).has_error());
     }
 
-    // Guards against a statement about the tables that is made up from a damaged one, and against one that reaches the
-    // caller.
-    TEST(ForwardProtocol, DamagedStatementAboutTablesIsNone)
+    // Guards against using a damaged header with table states and against passing it on to the caller.
+    TEST(ForwardProtocol, DamagedTableStatementsAreIgnored)
     {
         for (const char* text : { "1,2,3", "1,2,3,x", "1,2,3,-4", "" }) {
             auto message = encodeAnswer({});
@@ -64,13 +63,13 @@
         }
     }
 
-    // Guards against a refusal whose verdict is lost on the way, which would turn "not run" into "may have run".
+    // Guards against losing the verdict of a refusal, which would turn "not run" into "may have run".
     TEST(ForwardProtocol, AnswersKeepTheirVerdict)
     {
         gate_answer refused;
         refused.reason = error_code::overloaded;
         refused.retryAfter = std::chrono::milliseconds(250);
-        const known_tables tables { { 40, std::chrono::milliseconds(900) }, { 71, std::chrono::milliseconds(3) } };
+        const table_statements tables { { 40, std::chrono::milliseconds(900) }, { 71, std::chrono::milliseconds(3) } };
         refused.load = { "life", 1.5, 0.7, 12, true, tables };
         const auto got = decodeAnswer(encodeAnswer(refused));
         ASSERT_TRUE(got.has_value());
@@ -89,7 +88,7 @@
         EXPECT_EQ(answered.value().response, ran.response);
     }
 
-    // Guards against an answer without a verdict, as of another program, that counts as "not run".
+    // Guards against treating a response without a verdict, as from another program, as "not run".
     TEST(ForwardProtocol, AnswerWithoutAVerdictMayHaveRun)
     {
         const auto got = decodeAnswer({ { 503, {} }, "" });
@@ -97,8 +96,8 @@
         EXPECT_EQ(got.error().outcome, verdict::may_have_run);
     }
 
-    // Guards against rows that change on their way through the store.
-    TEST(MeshRows, ComeBackAsWritten)
+    // Guards against rows that do not decode to what was encoded.
+    TEST(MeshRows, RoundTrip)
     {
         const mesh_member member { "n1", "z1", { "10.0.0.1", 80 }, "s", "i@1", "i", 12, true };
         EXPECT_EQ(parseMember(toJson(member)).value(), member);
--- a/src/mesh/tests/key_access_test.cpp
+++ b/src/mesh/tests/key_access_test.cpp
@@ -16,7 +16,7 @@
         void write(conditional_write, time_point, std::function<void(result<write_outcome>)>) override { }
     };
 
-    /// A node whose backend server is to get keys that another one held.
+    /// A node whose backend server owns keys that another one has yet to release.
     class KeyAccessTest : public testing::Test {
     protected:
         KeyAccessTest()
@@ -31,7 +31,7 @@
             const auto map = range_map()
                                  .assign({ 0, lastKey }, "other@1", 1)
                                  .assign({ 0, 9 }, announcement.life(), 2, silence.count());
-            keys.rowChanged({ row, 1, map.toJson() });
+            keys.onRowChanged({ row, 1, map.toJson() });
         }
 
         static constexpr auto silence = milliseconds(3700);
@@ -48,16 +48,16 @@
                 [](const std::set<life_name>&) {}, [this](const life_name&) { return isReachable; } } };
     };
 
-    // Guards against requests that are turned away although their key is granted within a heartbeat or two.
+    // Guards against refusing requests whose key is granted within one or two heartbeats.
     TEST_F(KeyAccessTest, KeysThatAreBeingReleasedAreAwaited)
     {
         EXPECT_EQ(keys.access(5), key_access::wait);
         EXPECT_EQ(keys.access(50), key_access::refuse);
     }
 
-    // Pattern "owner lost at the crest": guards against requests that wait to their deadline for keys that cannot be
-    // granted before it (trace of mondego-mesh-grown scale-1: 1,495 refusals as not_owner, half of them after 0.8 s).
-    TEST_F(KeyAccessTest, KeysOfALostOwnerAreAwaitedOnlyNearTheEndOfItsSilence)
+    // Guards against requests that wait until their deadline for keys of a lost owner, which cannot be granted before
+    // it (1,495 refusals as not_owner were seen at peak load, half of them after 0.8 s).
+    TEST_F(KeyAccessTest, KeysOfALostOwnerAreAwaitedOnlyNearTheEndOfItsHolds)
     {
         isReachable = false;
         EXPECT_EQ(keys.access(5), key_access::refuse);
--- a/src/mesh/tests/mesh_directory_test.cpp
+++ b/src/mesh/tests/mesh_directory_test.cpp
@@ -46,44 +46,44 @@
         mesh_directory directory { base.get(), settings };
     };
 
-    // Guards against a node that is taken for lost after one failure, or never.
+    // Guards against a node that counts as unreachable after a single failure, or never.
     TEST_F(MeshDirectoryTest, NodeIsUnreachableOnlyWhileItFails)
     {
-        directory.failed("n2", error_code::connection_failed, start);
+        directory.recordFailure("n2", error_code::connection_failed, start);
         EXPECT_EQ(available(start + seconds(1)).size(), 3u);
         EXPECT_EQ(available(start + seconds(2)), (std::vector<instance_id> { "n1", "n3" }));
-        directory.answered("n2", std::nullopt, start + seconds(2));
+        directory.recordAnswer("n2", std::nullopt, start + seconds(2));
         EXPECT_EQ(available(start + seconds(3)).size(), 3u);
     }
 
-    // Guards against requests that keep going to a removed machine until its first failure is 1.5 s old (mondego-mesh,
-    // incident inc-774a), and against a reachable node that is given up for one lost packet.
-    TEST_F(MeshDirectoryTest, SilentMachineIsUnreachableAtTheSecondSign)
+    // Guards against requests that are sent to a removed instance until its first failure is 1.5 s old, and against a
+    // reachable node that counts as unreachable after one lost packet.
+    TEST_F(MeshDirectoryTest, SilentNodeIsUnreachableAfterTwoFailures)
     {
-        directory.failed("n2", error_code::unreachable, start);
+        directory.recordFailure("n2", error_code::unreachable, start);
         EXPECT_EQ(available(start).size(), 3u);
-        directory.failed("n2", error_code::unreachable, start);
+        directory.recordFailure("n2", error_code::unreachable, start);
         EXPECT_EQ(available(start), (std::vector<instance_id> { "n1", "n3" }));
-        directory.answered("n2", std::nullopt, start);
-        directory.failed("n2", error_code::unreachable, start);
+        directory.recordAnswer("n2", std::nullopt, start);
+        directory.recordFailure("n2", error_code::unreachable, start);
         EXPECT_EQ(available(start).size(), 3u);
     }
 
-    // Guards against rows of live nodes that are removed again and again: one failure long ago is no silence
-    // (iarc-mesh-grown quiet-1, 29 removals in 8 s).
-    TEST_F(MeshDirectoryTest, OneOldFailureIsNoSilence)
+    // Guards against repeated removal of the rows of live nodes because of one failure long ago (29 removals in 8 s
+    // were seen without load).
+    TEST_F(MeshDirectoryTest, OneOldFailureDoesNotMakeANodeSilent)
     {
-        directory.failed("n2", error_code::connection_failed, start);
+        directory.recordFailure("n2", error_code::connection_failed, start);
         for (int i = 0; i < 5; ++i)
-            directory.failed("n3", error_code::connection_failed, start + seconds(i));
+            directory.recordFailure("n3", error_code::connection_failed, start + seconds(i));
         EXPECT_EQ(directory.silentSince(start + seconds(20), 5), std::vector<instance_id> { "n3" });
         EXPECT_EQ(directory.silentSince(start + seconds(20), 1).size(), 2u);
-        directory.answered("n3", std::nullopt, start + seconds(20));
+        directory.recordAnswer("n3", std::nullopt, start + seconds(20));
         EXPECT_TRUE(directory.silentSince(start + seconds(30), 5).empty());
     }
 
-    // Guards against new work for a backend server that leaves or has no life.
-    TEST_F(MeshDirectoryTest, LeavingBackendServersGetNoNewWork)
+    // Guards against new requests for a backend server that is draining or has no life.
+    TEST_F(MeshDirectoryTest, DrainingBackendServersGetNoNewRequests)
     {
         mesh_member member = directory.find("n2")->member;
         member.isDraining = true;
