--- a/src/mesh/tests/ownership_history_test.cpp
+++ b/src/mesh/tests/ownership_history_test.cpp
@@ -9,8 +9,8 @@
 
     using std::chrono::milliseconds;
 
-    /// Versioned store in memory. Calls are answered by step(); they may be lost before or after they take effect, and
-    /// a lost write may take effect late.
+    /// Versioned store in memory that queues the writes of one node. serveStore() completes them; they may be lost
+    /// before they take effect, and a lost write may take effect late.
     class history_store : public watched_store {
     public:
         struct pending_write {
@@ -48,7 +48,7 @@
         }
     };
 
-    /// A backend server: holds what it was granted until its own clock says that the hold has ended.
+    /// A backend server: holds the granted keys until the hold has ended by its own clock.
     struct simulated_backend {
         life_name life;
         std::string id;
@@ -75,7 +75,7 @@
         bool isCutFromStore = false;
         bool isCutFromPeers = false;
         time_point frozenUntil {};
-        time_point nextBeat {};
+        time_point nextHeartbeat {};
     };
 
     /// Nodes of one service with random faults, in virtual time.
@@ -105,15 +105,15 @@
                 advance();
         }
 
-        std::string failure; ///< Empty unless a rule was broken.
+        std::string failure; ///< Empty unless two backend servers held one key.
         double servedShare() const { return m_samples == 0 ? 0 : static_cast<double>(m_served) / m_samples; }
         void allowFaults(bool isAllowed) { m_hasFaults = isAllowed; }
-        void breakRule() { m_grantsWithoutRelease = true; }
+        void grantWithoutRelease() { m_grantsWithoutRelease = true; }
 
     private:
         static constexpr duration step = milliseconds(20);
         static constexpr double movesPerSecond = 0.3;
-        static constexpr int mostMovedKeys = 20000;
+        static constexpr int maxMovedKeys = 20000;
         static constexpr key_number sampledKeys[] = { 0, 9000, 30000, 50000, 65535 };
 
         int pick(int bound) { return std::uniform_int_distribution<int>(0, bound - 1)(m_random); }
@@ -133,9 +133,9 @@
             node.keys = std::make_unique<ownership>(m_base.get(), node.settings, *node.store, m_row.key,
                 ownership_hooks { [this] { return m_now; }, [this, &node] { return candidates(node); },
                     [this, &node](const range_map& map, fencing_token fence, time_point) {
-                        return moveSomeKeys(node, map, fence);
+                        return moveRandomKeys(node, map, fence);
                     },
-                    [] {}, [this, &node] { ask(node); }, [this, &node] { return askConfirmingOwner(node); },
+                    [] {}, [this, &node] { askOtherOwners(node); }, [this, &node] { return askConfirmingOwner(node); },
                     [](const std::set<life_name>&) {},
                     [this, &node](const life_name& life) {
                         return std::ranges::any_of(m_nodes, [&](const auto& other) {
@@ -143,18 +143,18 @@
                         });
                     } });
             if (m_row.version > 0)
-                node.keys->rowChanged({ m_row.key, m_row.version, m_row.value });
-            node.keys->tableRead();
+                node.keys->onRowChanged({ m_row.key, m_row.version, m_row.value });
+            node.keys->onTableRead();
         }
 
-        /// A plan that moves some keys of any owner to any server that the node knows.
-        range_map moveSomeKeys(const simulated_node& node, const range_map& map, fencing_token fence)
+        /// A balancing plan that moves some keys of any owner to any candidate of the node.
+        range_map moveRandomKeys(const simulated_node& node, const range_map& map, fencing_token fence)
         {
             const auto known = candidates(node);
             if (!m_hasFaults || known.empty() || !chance(movesPerSecond))
                 return map;
             const auto first = static_cast<key_number>(pick(lastKey));
-            const auto last = std::min<key_number>(lastKey, first + static_cast<key_number>(pick(mostMovedKeys)));
+            const auto last = std::min<key_number>(lastKey, first + static_cast<key_number>(pick(maxMovedKeys)));
             return map.assign({ first, last }, known[pick(static_cast<int>(known.size()))].range.life, fence);
         }
 
@@ -174,34 +174,34 @@
             return out;
         }
 
-        void ask(simulated_node& node)
+        void askOtherOwners(simulated_node& node)
         {
             const auto owners = node.keys->otherOwners();
-            auto promised = std::make_shared<std::size_t>(0);
+            auto promisedCount = std::make_shared<std::size_t>(0);
             for (const auto& life : owners) {
                 for (auto& other : m_nodes) {
                     if (other.backend.life != life || !reaches(node, other))
                         continue;
-                    askOwner(node, other, promised, owners.size());
+                    askOwner(node, other, promisedCount, owners.size());
                 }
             }
         }
 
-        void askOwner(simulated_node& node, simulated_node& other, const std::shared_ptr<std::size_t>& promised,
+        void askOwner(simulated_node& node, simulated_node& other, const std::shared_ptr<std::size_t>& promisedCount,
             std::size_t count)
         {
             const auto version = node.keys->version();
-            other.keys->confirmFor(node.keys->life(), version,
-                [&node, &other, promised, version, count, askedAt = m_now](
+            other.keys->handleConfirmation(node.keys->life(), version,
+                [&node, &other, promisedCount, version, count, askedAt = m_now](
                     map_statement statement, std::optional<duration> confirmedAgo) {
                     if (node.keys->version() != version)
                         return;
                     if (statement == map_statement::outdated)
                         node.keys->adoptNewer(other.keys->map(), other.keys->version());
                     if (confirmedAgo && node.keys->version() == other.keys->version())
-                        node.keys->confirmed(askedAt - *confirmedAgo);
-                    if (statement == map_statement::promised && ++*promised == count)
-                        node.keys->promised(askedAt);
+                        node.keys->onConfirmed(askedAt - *confirmedAgo);
+                    if (statement == map_statement::promised && ++*promisedCount == count)
+                        node.keys->onPromised(askedAt);
                 });
         }
 
@@ -218,7 +218,7 @@
             return false;
         }
 
-        void beat(simulated_node& node)
+        void sendHeartbeat(simulated_node& node)
         {
             auto& backend = node.backend;
             backend_announcement announcement;
@@ -232,7 +232,7 @@
             announcement.released = backend.released;
             node.keys->report(announcement);
             const auto grant = node.keys->grant(m_now);
-            if (!grant.isValid || chance(5)) // The answer may be lost.
+            if (!grant.isValid || chance(5)) // The response may be lost.
                 return;
             backend.released.clear();
             for (const auto& held : backend.holds) {
@@ -248,7 +248,7 @@
                         backend.holds.push_back({ range.keys, range.fence, "" });
                 }
             }
-            // The backend server's clock may run two in a hundred slow.
+            // The backend server's clock may run 2% slow.
             backend.holdEnd = m_now + std::chrono::duration_cast<duration>(grant.hold * 1.02);
         }
 
@@ -260,14 +260,14 @@
                 if (node.isCutFromStore || m_isStoreDown || chance(0.5)) {
                     const bool isLate = !node.isCutFromStore && chance(20);
                     if (isLate)
-                        m_late.push_back({ m_now + milliseconds(pick(6000)), call.write });
+                        m_lateWrites.push_back({ m_now + milliseconds(pick(6000)), call.write });
                     call.done(mayHaveRun(error_code::store_unavailable, "lost"));
                     continue;
                 }
                 call.done(m_row.apply(call.write));
             }
             if (!node.isCutFromStore && !m_isStoreDown && m_row.version > node.keys->version() && chance(20))
-                node.keys->rowChanged({ m_row.key, m_row.version, m_row.value });
+                node.keys->onRowChanged({ m_row.key, m_row.version, m_row.value });
         }
 
         void injectFaults()
@@ -299,20 +299,20 @@
         void advance()
         {
             injectFaults();
-            for (auto late = m_late.begin(); late != m_late.end();) {
+            for (auto late = m_lateWrites.begin(); late != m_lateWrites.end();) {
                 if (m_now < late->first) {
                     ++late;
                     continue;
                 }
                 m_row.apply(late->second);
-                late = m_late.erase(late);
+                late = m_lateWrites.erase(late);
             }
             for (auto& node : m_nodes) {
                 if (m_now < node.frozenUntil)
                     continue;
-                if (m_now >= node.nextBeat) {
-                    node.nextBeat = m_now + milliseconds(870);
-                    beat(node);
+                if (m_now >= node.nextHeartbeat) {
+                    node.nextHeartbeat = m_now + milliseconds(870);
+                    sendHeartbeat(node);
                 }
                 node.keys->advance();
                 serveStore(node);
@@ -342,7 +342,7 @@
         time_point m_now { std::chrono::hours(100) };
         shared_row m_row;
         std::vector<simulated_node> m_nodes;
-        std::vector<std::pair<time_point, conditional_write>> m_late;
+        std::vector<std::pair<time_point, conditional_write>> m_lateWrites;
         bool m_isStoreDown = false;
         bool m_hasFaults = true;
         bool m_grantsWithoutRelease = false;
@@ -351,13 +351,14 @@
     };
 
 #ifdef HEATHERDRIFT_SANITIZE_BUILD
-    constexpr std::uint64_t histories = 20; // Some 30 times slower per history.
+    constexpr std::uint64_t histories = 20; // About 30 times slower per history.
 #else
     constexpr std::uint64_t histories = 600;
 #endif
 
-    // Guards against two backend servers that hold one key, whatever combination of cuts, freezes, restarts, outages of
-    // the store, lost answers and late writes comes. Each history is 60 s long.
+    // Guards against two backend servers that hold the same key under random combinations of network partitions,
+    // freezes, restarts, outages of the store, lost responses and late writes. Each history covers 60 s of virtual
+    // time.
     TEST(OwnershipHistory, NoKeyHasTwoHolders)
     {
         for (std::uint64_t seed = 1; seed <= histories; ++seed) {
@@ -367,30 +368,30 @@
         }
     }
 
-    // Guards against the check above that cannot fail: a backend server that takes keys before their release is found.
-    TEST(OwnershipHistory, BrokenReleaseRuleIsFound)
+    // Shows that the check above can fail: a backend server that takes keys before their release is detected.
+    TEST(OwnershipHistory, GrantWithoutReleaseIsDetected)
     {
         std::string failure;
         for (std::uint64_t seed = 1; seed <= histories && failure.empty(); ++seed) {
             ownership_history history(seed);
-            history.breakRule();
+            history.grantWithoutRelease();
             history.run(std::chrono::seconds(60));
             failure = history.failure;
         }
         EXPECT_NE(failure, "");
     }
 
-    // Guards against keys that nobody holds although nothing is wrong.
-    TEST(OwnershipHistory, EveryKeyIsHeldOnACalmDay)
+    // Guards against keys without a holder in the absence of faults.
+    TEST(OwnershipHistory, EveryKeyIsHeldWithoutFaults)
     {
         ownership_history history(1);
         history.allowFaults(false);
         history.run(std::chrono::seconds(6));
-        ownership_history calm(2);
-        calm.allowFaults(false);
-        calm.run(std::chrono::seconds(60));
-        EXPECT_EQ(calm.failure, "");
-        EXPECT_GT(calm.servedShare(), 0.9);
+        ownership_history longHistory(2);
+        longHistory.allowFaults(false);
+        longHistory.run(std::chrono::seconds(60));
+        EXPECT_EQ(longHistory.failure, "");
+        EXPECT_GT(longHistory.servedShare(), 0.9);
     }
 
 } // namespace
--- a/src/mesh/tests/request_path_test.cpp
+++ b/src/mesh/tests/request_path_test.cpp
@@ -9,7 +9,7 @@
     using std::chrono::milliseconds;
     using std::chrono::seconds;
 
-    /// A port with headers of its own.
+    /// Platform port with headers of the test.
     platform_port makeTestPort()
     {
         platform_port port;
@@ -38,7 +38,7 @@
         return port;
     }
 
-    /// One node with its backend server, which answers as the test says.
+    /// One node with a backend server whose responses the test sets.
     class RequestPathTest : public testing::Test {
     protected:
         void SetUp() override
@@ -54,7 +54,7 @@
             settings.backend = backend->address();
             gate = std::make_unique<gate_service>(loop.base(), settings, port,
                 gate_hooks { [this](key_number) { return access; }, [] { return std::int64_t { 0 }; },
-                    [] { return std::optional<known_tables>(); }, [] {} });
+                    [] { return std::optional<table_statements>(); }, [] {} });
             gate->setBackend({ "i@1", "i", 2 });
             directory = std::make_unique<mesh_directory>(loop.base(), settings);
             mesh_member self;
@@ -66,10 +66,10 @@
             map = range_map().assign({ 0, lastKey }, "i@1", 1);
             entry = std::make_unique<entry_service>(
                 entry_context { loop.base(), settings, port, routes, *directory, *gate, &metrics,
-                    [this](const std::string&) { return mapQuestions++ < unansweredMapQuestions ? nullptr : &map; },
+                    [this](const std::string&) { return mapLookups++ < failingMapLookups ? nullptr : &map; },
                     [](const std::string&) {}, [](const instance_id&) {}, [](const instance_id&) {},
                     [](const std::string&, const instance_id&, row_version) {},
-                    [](const instance_id&, const known_tables&, time_point) {} });
+                    [](const instance_id&, const table_statements&, time_point) {} });
             server = loop.listen([this](http_exchange_ptr exchange) { entry->handle(std::move(exchange)); });
         }
 
@@ -104,8 +104,8 @@
         mesh_metrics metrics;
         route_table routes;
         range_map map;
-        int mapQuestions = 0;
-        int unansweredMapQuestions = 0;
+        int mapLookups = 0;
+        int failingMapLookups = 0;
         key_access access = key_access::serve;
         std::unique_ptr<http_server> backend;
         std::unique_ptr<gate_service> gate;
@@ -118,7 +118,7 @@
             = [](http_exchange_ptr exchange) { exchange->respond(signedAnswer(200, "whole")); };
     };
 
-    TEST_F(RequestPathTest, RequestAndAnswerComeThroughUnchanged)
+    TEST_F(RequestPathTest, RequestAndResponseArePassedUnchanged)
     {
         configure(true);
         const auto answer = fetch();
@@ -131,7 +131,7 @@
         EXPECT_FALSE(lastRequest.headers.find("heatherdrift-verdict"));
     }
 
-    // Guards against 404 by a node that knows no configuration yet.
+    // Guards against a 404 response by a node that has no configuration yet.
     TEST_F(RequestPathTest, WithoutAConfigurationRequestsAreRefused)
     {
         EXPECT_EQ(fetch().head.status, 503);
@@ -141,8 +141,8 @@
         EXPECT_EQ(arrivals, 0);
     }
 
-    // Guards against a request that runs twice, and against "not run" for one that may have run.
-    TEST_F(RequestPathTest, LostAnswerOfARequestThatMayRunOnceIsNotRepeated)
+    // Guards against running a request twice and against reporting "not run" for one that may have run.
+    TEST_F(RequestPathTest, NonIdempotentRequestIsNotRetriedAfterALostResponse)
     {
         configure(false);
         onRequest = [](http_exchange_ptr exchange) { exchange->abort(); };
@@ -150,16 +150,17 @@
         EXPECT_EQ(arrivals, 1);
     }
 
-    // Guards against a success that a broken backend server never made.
-    TEST_F(RequestPathTest, SuccessWithoutTheBackendServersMarkIsAFailure)
+    // Guards against passing on a success response that the backend server itself did not produce.
+    TEST_F(RequestPathTest, SuccessWithoutTheBackendServersSignatureIsAFailure)
     {
         configure(false);
         onRequest = [](http_exchange_ptr exchange) { exchange->respond({ { 200, { { "id", "r1" } } }, "x" }); };
         EXPECT_EQ(fetch().head.status, 502);
     }
 
-    // Guards against a failure in place of a promise: the backend server said that it did not run the request.
-    TEST_F(RequestPathTest, RequestThatTheBackendServerDidNotRunIsRefusedWithATime)
+    // Guards against an error response where the backend server stated that it did not run the request and a refusal
+    // with a retry time is due.
+    TEST_F(RequestPathTest, RequestThatTheBackendServerDidNotRunIsRefusedWithARetryTime)
     {
         configure(false);
         onRequest = [](http_exchange_ptr exchange) { exchange->respond({ { 503, { { "not-executed", "1" } } }, "" }); };
@@ -168,8 +169,8 @@
         EXPECT_TRUE(answer.head.headers.find("retry-after-us"));
     }
 
-    // Guards against an own failure in place of the backend server's.
-    TEST_F(RequestPathTest, FailureOfTheBackendServerIsDelivered)
+    // Guards against replacing the backend server's error response by one of the node.
+    TEST_F(RequestPathTest, ErrorResponseOfTheBackendServerIsReturned)
     {
         configure(true);
         onRequest = [](http_exchange_ptr exchange) { exchange->respond(signedAnswer(500, "broken")); };
@@ -178,8 +179,8 @@
         EXPECT_EQ(answer.body, "broken");
     }
 
-    // Guards against a request for a key that reaches a backend server that is not its owner.
-    TEST_F(RequestPathTest, KeysOfOthersAreNotSentToTheBackendServer)
+    // Guards against sending a request for a key to a backend server that does not own it.
+    TEST_F(RequestPathTest, RequestsForKeysOfOthersAreNotSentToTheBackendServer)
     {
         configure(true, true);
         access = key_access::refuse;
@@ -187,18 +188,18 @@
         EXPECT_EQ(arrivals, 0);
     }
 
-    // Pattern "first seconds": guards against refusals because a node that has just started does not know the range map
-    // yet (iarc-mesh-grown quiet-1: 373 refusals in the first second).
+    // Guards against refusals by a node that has just started and has no range map yet (373 refusals were seen in the
+    // first second).
     TEST_F(RequestPathTest, FirstRequestForAKeyAwaitsTheRangeMap)
     {
         configure(true, true);
-        unansweredMapQuestions = 2;
+        failingMapLookups = 2;
         EXPECT_EQ(fetch().head.status, 200);
-        unansweredMapQuestions = INT_MAX;
+        failingMapLookups = INT_MAX;
         EXPECT_EQ(fetch().head.status, 503);
     }
 
-    // Guards against requests that reach a backend server after it was told that it may leave.
+    // Guards against requests that reach a backend server after the end of its drain time.
     TEST_F(RequestPathTest, ClosedGateSendsNothing)
     {
         configure(true);
@@ -208,9 +209,8 @@
         EXPECT_TRUE(gate->load().isDraining);
     }
 
-    // Guards against a request that is taken by a stopping process and cut when it ends (iarc-mesh trouble-3, seed
-    // 1039176871820).
-    TEST_F(RequestPathTest, StoppingNodeRefusesWhatMayOutlastIt)
+    // Guards against a request that a stopping process accepts and then aborts when it ends.
+    TEST_F(RequestPathTest, StoppingNodeRefusesRequestsWithLaterDeadlines)
     {
         configure(true);
         entry->endAt(boot_clock::now() + seconds(60));
@@ -220,8 +220,8 @@
         EXPECT_EQ(arrivals, 1);
     }
 
-    // Guards against work for a caller that is gone: its connection to the backend server is closed.
-    TEST_F(RequestPathTest, CallerThatLeavesCancelsItsRequest)
+    // Guards against running a request whose caller has disconnected; its connection to the backend server is closed.
+    TEST_F(RequestPathTest, DisconnectOfTheCallerCancelsItsRequest)
     {
         configure(true);
         http_exchange_ptr held;
@@ -239,7 +239,7 @@
         EXPECT_EQ(gate->inProgress(), 0u);
     }
 
-    // Pattern "hangs when full": guards against more requests at the backend server than it has slots.
+    // Guards against more concurrent requests at the backend server than it has slots, which can make it hang.
     TEST_F(RequestPathTest, RequestsBeyondTheSlotsWaitAtTheGate)
     {
         configure(true);
--- a/src/mesh/tests/table_copy_test.cpp
+++ b/src/mesh/tests/table_copy_test.cpp
@@ -11,19 +11,19 @@
         return { { "t", key }, version, std::move(value) };
     }
 
-    // Guards against a removal that other nodes never learn of.
+    // Guards against a removal that is not passed on to other nodes.
     TEST(TableCopyTest, RemovedRowsArePassedOn)
     {
         table_copy copy;
         copy.replace({ { row("a", 1), row("b", 2) }, 3 });
         copy.merge({ { row("b", 9, std::nullopt), row("removals", 9) }, 9 });
-        const auto news = copy.newsAfter(2);
-        EXPECT_FALSE(news.isWhole);
-        EXPECT_EQ(news.rows.rows, (std::vector<row_change> { row("b", 9, std::nullopt), row("removals", 9) }));
+        const auto update = copy.updateAfter(2);
+        EXPECT_FALSE(update.isWhole);
+        EXPECT_EQ(update.rows.rows, (std::vector<row_change> { row("b", 9, std::nullopt), row("removals", 9) }));
     }
 
-    // Guards against a node that asks for changes again and again because other tables of the store change.
-    TEST(TableCopyTest, ChangesOfOtherTablesAreNoNews)
+    // Guards against repeated requests for changes when only other tables of the store change.
+    TEST(TableCopyTest, ChangesOfOtherTablesAreNotReported)
     {
         table_copy copy;
         copy.replace({ { row("a", 1) }, 3 });
@@ -32,17 +32,18 @@
         EXPECT_EQ(copy.newestChange(), 1);
     }
 
-    // Guards against a removed row that comes back from a node that knows only its earlier state.
+    // Guards against a removed row that is restored by a node with an earlier copy of the table.
     TEST(TableCopyTest, NodeThatNeverSawARowRemovesItFromOthers)
     {
         table_copy reader;
         reader.replace({ { row("a", 1), row("removals", 5) }, 6 });
         table_copy behind;
         behind.replace({ { row("a", 1), row("b", 4) }, 4 });
-        EXPECT_TRUE(reader.take(behind.newsAfter(reader.newestChange())).empty());
-        const auto news = reader.newsAfter(behind.newestChange());
-        EXPECT_TRUE(news.isWhole);
-        EXPECT_EQ(behind.take(news), (std::vector<row_change> { row("removals", 5), row("b", 5, std::nullopt) }));
+        EXPECT_TRUE(reader.applyUpdate(behind.updateAfter(reader.newestChange())).empty());
+        const auto update = reader.updateAfter(behind.newestChange());
+        EXPECT_TRUE(update.isWhole);
+        EXPECT_EQ(
+            behind.applyUpdate(update), (std::vector<row_change> { row("removals", 5), row("b", 5, std::nullopt) }));
     }
 
     /// The table in the store, with the row that each removal changes.
@@ -85,15 +86,16 @@
     std::map<row_key, row_change> liveRows(const table_copy& copy)
     {
         std::map<row_key, row_change> out;
-        for (const auto& one : copy.newsAfter(0).rows.rows) {
+        for (const auto& one : copy.updateAfter(0).rows.rows) {
             if (one.value)
                 out[one.key] = one;
         }
         return out;
     }
 
-    // Guards against two nodes whose rows differ although their newest change is the same, so that neither asks the
-    // other, and against a row that goes back; whatever each of them heard from the store and from the other.
+    // Guards against two nodes with the same newest change but different rows, so that neither asks the other, and
+    // against a row that reverts to an older version, for any sequence of updates from the store and from the other
+    // node.
     RC_GTEST_PROP(TableCopyProperty, EqualNewestChangesMeanEqualRows, ())
     {
         table_model table;
@@ -108,12 +110,12 @@
             else if (step < 80 && node.version() > 0)
                 node.merge(table.changesAfter(node.version()));
             else if (node.version() > 0)
-                node.take(other.newsAfter(node.newestChange()));
+                node.applyUpdate(other.updateAfter(node.newestChange()));
             if (nodes[0].newestChange() == nodes[1].newestChange())
                 RC_ASSERT(liveRows(nodes[0]) == liveRows(nodes[1]));
         }
         nodes[0].replace(table.whole());
-        nodes[1].take(nodes[0].newsAfter(nodes[1].newestChange()));
+        nodes[1].applyUpdate(nodes[0].updateAfter(nodes[1].newestChange()));
         const auto rows = table.whole().rows;
         RC_ASSERT(liveRows(nodes[1]).size() == rows.size());
         for (const auto& one : rows)
--- a/src/mesh/tests/table_exchange_test.cpp
+++ b/src/mesh/tests/table_exchange_test.cpp
@@ -7,7 +7,7 @@
     using std::chrono::milliseconds;
     using std::chrono::seconds;
 
-    /// Store that answers reads with what the test set, and never a watch.
+    /// Store that responds to reads with rows set by the test, and never to a watch.
     class silent_store : public watched_store {
     public:
         void read(std::string table, time_point, std::function<void(result<row_snapshot>)> done) override
@@ -30,7 +30,7 @@
         int watches = 0;
     };
 
-    /// Two of four nodes: n3 asks n4 what it knows.
+    /// Two of four nodes: n3 requests changes from n4.
     class TableExchangeTest : public testing::Test {
     protected:
         struct node {
@@ -66,11 +66,12 @@
 
         TableExchangeTest()
         {
-            for (auto* one : { &asker, &teller }) {
+            for (auto* one : { &askingNode, &answeringNode }) {
                 for (const char* name : { "n1", "n2", "n3", "n4" }) {
                     mesh_member member;
                     member.node = name;
-                    member.address = member.node == "n4" ? teller.server->address() : asker.server->address();
+                    member.address
+                        = member.node == "n4" ? answeringNode.server->address() : askingNode.server->address();
                     one->directory.update(member, boot_clock::now());
                 }
                 one->store.tables["configuration"] = { { row(4) }, 5 };
@@ -82,52 +83,53 @@
         static row_change row(row_version version) { return { { "configuration", "current" }, version, "v" }; }
 
         test_loop loop;
-        node asker { loop, "n3" };
-        node teller { loop, "n4" };
+        node askingNode { loop, "n3" };
+        node answeringNode { loop, "n4" };
     };
 
-    // Guards against a node that learns of a new configuration only from the store, which may be silent to it
-    // (mondego-mesh-grown hunt-c68d-3, fresh-6d2a: requests handled by a replaced configuration).
-    TEST_F(TableExchangeTest, NewerRowsComeFromTheNodeThatNamesThem)
+    // Guards against a node that gets a new configuration only from the store: while the store did not respond to it,
+    // it handled requests by a replaced configuration.
+    TEST_F(TableExchangeTest, NewerRowsAreFetchedFromTheNodeThatReportsThem)
     {
-        teller.configuration.take({ { { row(9) }, 9 }, false });
-        asker.exchange.notice("n4", *teller.exchange.statement(), boot_clock::now());
-        loop.runUntil([&] { return asker.configuration.copy().newestChange() == 9; });
-        EXPECT_EQ(asker.seen.back(), row(9));
+        answeringNode.configuration.applyUpdate({ { { row(9) }, 9 }, false });
+        askingNode.exchange.handleStatements("n4", *answeringNode.exchange.statement(), boot_clock::now());
+        loop.runUntil([&] { return askingNode.configuration.copy().newestChange() == 9; });
+        EXPECT_EQ(askingNode.seen.back(), row(9));
     }
 
-    // Guards against a table that counts as current because a node that knows less says so.
-    TEST_F(TableExchangeTest, OnlyTheAgeOfRowsThatAreKnownCounts)
+    // Guards against a table that counts as current because of a node with an older copy.
+    TEST_F(TableExchangeTest, OnlyTheAgeOfKnownRowsConfirmsTheTable)
     {
         const auto asked = boot_clock::now();
-        const auto before = asker.configuration.currentAt();
-        known_tables newer;
+        const auto before = askingNode.configuration.currentAt();
+        table_statements newer;
         newer.configuration = { 9, milliseconds(1) };
         newer.members = { 0, seconds(30) };
-        asker.exchange.notice("n4", newer, asked + seconds(60));
-        EXPECT_EQ(asker.configuration.currentAt(), before);
-        EXPECT_EQ(asker.members.currentAt(), asked + seconds(30));
+        askingNode.exchange.handleStatements("n4", newer, asked + seconds(60));
+        EXPECT_EQ(askingNode.configuration.currentAt(), before);
+        EXPECT_EQ(askingNode.members.currentAt(), asked + seconds(30));
     }
 
-    // Guards against nodes without requests that all call the store; they ask a reader.
-    TEST_F(TableExchangeTest, NodeThatHearsNothingAsksAReader)
+    // Guards against nodes without traffic that all call the store instead of asking a reader.
+    TEST_F(TableExchangeTest, NodeWithoutUpdatesAsksAReader)
     {
-        asker.exchange.start();
-        loop.runUntil([&] { return asker.readersAsked.size() >= 2; });
-        EXPECT_EQ(std::set<instance_id>(asker.readersAsked.begin(), asker.readersAsked.end()),
+        askingNode.exchange.start();
+        loop.runUntil([&] { return askingNode.readersAsked.size() >= 2; });
+        EXPECT_EQ(std::set<instance_id>(askingNode.readersAsked.begin(), askingNode.readersAsked.end()),
             (std::set<instance_id> { "n1", "n2" }));
-        EXPECT_EQ(asker.exchange.place(), (fleet_place { 2, 4 }));
+        EXPECT_EQ(askingNode.exchange.place(), (fleet_place { 2, 4 }));
     }
 
-    // Guards against an answer of another node that breaks the table.
-    TEST(TableChanges, KeepTheirRowsOrAreRejected)
+    // Guards against a malformed response of another node that corrupts the table.
+    TEST(TableUpdate, RoundTripsOrIsRejected)
     {
-        const table_news news { { { { { "t", "a" }, 7, "\x01 value" }, { { "t", "b" }, 8, std::nullopt } }, 8 }, true };
-        EXPECT_EQ(decodeNews(encodeNews(news)).value(), news);
+        const table_update update { { { { { "t", "a" }, 7, "\x01 value" }, { { "t", "b" }, 8, std::nullopt } }, 8 },
+            true };
+        EXPECT_EQ(decodeUpdate(encodeUpdate(update)).value(), update);
         for (const char* text : { "", "[]", "{}", R"({"version":1,"whole":true,"rows":[{}]})",
                  R"({"version":1,"whole":true,"rows":{"a":1}})",
                  R"({"version":1,"whole":false,"rows":[{"table":"t","key":"a","version":0}]})" })
-            EXPECT_TRUE(decodeNews(text).has_error()) << text;
+            EXPECT_TRUE(decodeUpdate(text).has_error()) << text;
     }
 
 } // namespace
--- a/src/mesh/tests/table_watcher_test.cpp
+++ b/src/mesh/tests/table_watcher_test.cpp
@@ -6,7 +6,7 @@
 namespace heatherdrift {
 namespace {
 
-    /// Store whose answers the test gives one by one.
+    /// Store whose responses the test sends one by one.
     class manual_store : public watched_store {
     public:
         void read(std::string, time_point deadline, std::function<void(result<row_snapshot>)> done) override
@@ -33,7 +33,7 @@
     class TableWatcherTest : public testing::Test {
     protected:
         TableWatcherTest()
-            : watcher(base.get(), store, "t", terms(),
+            : watcher(base.get(), store, "t", timing(),
                 { [this](const row_change& row) { seen.push_back(row); }, [this] { ++wholeReads; },
                     [this](bool isAvailable) { availability.push_back(isAvailable); },
                     [this] {
@@ -44,12 +44,12 @@
             watcher.start();
         }
 
-        static watch_terms terms()
+        static watch_timing timing()
         {
-            watch_terms terms;
-            terms.patience = std::chrono::milliseconds(30);
-            terms.readTimeout = readTimeout;
-            return terms;
+            watch_timing timing;
+            timing.maxAge = std::chrono::milliseconds(30);
+            timing.readTimeout = readTimeout;
+            return timing;
         }
 
         void answerRead(const result<row_snapshot>& value) { answer(store.reads, value); }
@@ -78,9 +78,9 @@
         table_watcher watcher;
     };
 
-    // Guards against a read that hangs on a silent store for longer than its table may be out of date
-    // (mondego-mesh-grown fresh-6d2a: a configuration was applied 2.5 s after the end of an outage).
-    TEST_F(TableWatcherTest, EachReadEndsWithinItsPace)
+    // Guards against a read that waits for an unresponsive store for longer than its table may be outdated (a
+    // configuration was applied only 2.5 s after the end of an outage).
+    TEST_F(TableWatcherTest, EachReadEndsWithinTheReadTimeout)
     {
         for (int i = 0; i < 10; ++i) {
             answerRead(notRun(error_code::store_unavailable, "silent"));
@@ -88,8 +88,8 @@
         }
     }
 
-    // Guards against a row that goes back to an older state, and is told twice.
-    TEST_F(TableWatcherTest, OlderStatesOfARowAreNotTold)
+    // Guards against a row that reverts to an older version or is reported twice.
+    TEST_F(TableWatcherTest, OlderVersionsOfARowAreNotReported)
     {
         answerRead(row_snapshot { { row("a", 4) }, 5 });
         answerWatch(row_snapshot { { row("a", 3), row("a", 6) }, 6 });
@@ -99,8 +99,8 @@
         EXPECT_EQ(seen[1].version, 6);
     }
 
-    // Guards against changes that are missed when the history is gone, and against rows that stay known after they were
-    // removed meanwhile.
+    // Guards against changes that are missed when the store's history was truncated, and against rows that remain in
+    // the copy although they were removed meanwhile.
     TEST_F(TableWatcherTest, LostHistoryIsReadAnew)
     {
         answerRead(row_snapshot { { row("a", 4), row("b", 5) }, 5 });
@@ -112,8 +112,8 @@
         EXPECT_EQ(wholeReads, 2);
     }
 
-    // Guards against an old answer that takes rows away which are known from a newer one.
-    TEST_F(TableWatcherTest, OldReadIsNotTaken)
+    // Guards against an outdated read that removes rows added by a newer response.
+    TEST_F(TableWatcherTest, OutdatedReadIsIgnored)
     {
         answerRead(row_snapshot { { row("a", 4) }, 5 });
         answerWatch(row_snapshot { { row("b", 8) }, 8 });
@@ -125,9 +125,9 @@
         EXPECT_EQ(watcher.copy().version(), 8);
     }
 
-    // Guards against a table that stays old on a node that nobody tells of it (mondego-mesh-grown hunt-c68d-3: a watch
-    // on a connection that went silent with an outage).
-    TEST_F(TableWatcherTest, NodeThatIsToldNothingAsksTheStore)
+    // Guards against an outdated table on a node that gets no updates from other nodes (seen with a watch whose
+    // connection stopped responding in an outage).
+    TEST_F(TableWatcherTest, NodeWithoutUpdatesAsksTheStore)
     {
         rank = 40;
         answerRead(row_snapshot { { row("a", 4) }, 5 });
@@ -135,32 +135,32 @@
         EXPECT_EQ(seen.back(), row("a", 6));
     }
 
-    // Guards against a change that another node told and that is told again, or undone, by a later answer of the store.
-    TEST_F(TableWatcherTest, ChangesOfOtherNodesAreTakenOnce)
+    // Guards against a change from another node that a later response of the store reports again or reverts.
+    TEST_F(TableWatcherTest, ChangesOfOtherNodesAreAppliedOnce)
     {
         rank = 40;
         answerRead(row_snapshot { { row("a", 4) }, 5 });
-        watcher.take({ { { row("a", 7) }, 7 }, false });
+        watcher.applyUpdate({ { { row("a", 7) }, 7 }, false });
         answerWatch(row_snapshot { { row("a", 7) }, 8 });
         EXPECT_EQ(store.watchedAfter, 7);
         EXPECT_EQ(seen, (std::vector<row_change> { row("a", 4), row("a", 7) }));
     }
 
     // Guards against calls to the store by a node that the others keep up to date.
-    TEST_F(TableWatcherTest, NodeThatIsToldOfTheTableDoesNotAskTheStore)
+    TEST_F(TableWatcherTest, NodeWithAConfirmedTableDoesNotAskTheStore)
     {
         rank = 40;
         answerRead(row_snapshot { { row("a", 4) }, 5 });
         watcher.confirm(boot_clock::now() + std::chrono::hours(1));
-        const auto end = boot_clock::now() + 4 * terms().patience;
+        const auto end = boot_clock::now() + 4 * timing().maxAge;
         while (boot_clock::now() < end)
             event_base_loop(base.get(), EVLOOP_NONBLOCK);
         EXPECT_TRUE(store.watches.empty());
         EXPECT_FALSE(watcher.needsReader(boot_clock::now()));
     }
 
-    // Guards against an outage that is told again and again, or never ends.
-    TEST_F(TableWatcherTest, OutageIsToldOnce)
+    // Guards against an outage that is reported repeatedly or never reported as ended.
+    TEST_F(TableWatcherTest, OutageIsReportedOnce)
     {
         answerRead(notRun(error_code::store_unavailable, "down"));
         answerRead(notRun(error_code::store_unavailable, "down"));
--- a/src/mesh/tests/watch_schedule_test.cpp
+++ b/src/mesh/tests/watch_schedule_test.cpp
@@ -11,11 +11,12 @@
     using std::chrono::seconds;
 
     constexpr auto step = milliseconds(10);
-    constexpr auto requestTime = milliseconds(200); ///< A node's knowledge reaches another one with an answer.
+    constexpr auto requestTime
+        = milliseconds(200); ///< Age of a node's state when a response carries it to another node.
     const time_point start { std::chrono::hours(1) };
 
-    /// Nodes that follow one table: each asks the store as the schedule says, and hears from a random node with each of
-    /// its requests.
+    /// Nodes that watch one table: each polls the store by the schedule and gets the state of a random node with each
+    /// of its requests.
     class watching_fleet {
     public:
         watching_fleet(std::size_t nodes, int requestsPerSecond)
@@ -36,7 +37,7 @@
             }
         }
 
-        duration oldest() const
+        duration maxAge() const
         {
             duration out {};
             for (const auto& node : m_nodes) {
@@ -55,7 +56,7 @@
 
         time_point now = start;
         int calls = 0; ///< To the store.
-        int questions = 0; ///< To readers.
+        int readerRequests = 0; ///< To readers.
 
     private:
         struct node {
@@ -63,7 +64,7 @@
             bool isAsking = false;
             time_point answerAt {};
             time_point mayAskReaderAt {};
-            double chance = 0;
+            double jitter = 0;
             bool isLost = false;
             bool isCut = false;
         };
@@ -75,35 +76,35 @@
             if (node.isLost)
                 return;
             if (random() < m_requestsPerSecond * std::chrono::duration<double>(step).count())
-                hear(node, m_nodes[static_cast<std::size_t>(random() * static_cast<double>(m_nodes.size()))],
+                receiveState(node, m_nodes[static_cast<std::size_t>(random() * static_cast<double>(m_nodes.size()))],
                     requestTime);
             if (node.isAsking && now >= node.answerAt)
                 answer(node);
-            if (asksReader(m_terms, node.state, now) && now >= node.mayAskReaderAt) {
+            if (isReaderRequestDue(m_timing, node.state, now) && now >= node.mayAskReaderAt) {
                 node.mayAskReaderAt = now + milliseconds(200);
                 const auto readers = static_cast<double>(node.state.place.readers());
-                hear(node, m_nodes[static_cast<std::size_t>(random() * readers)], milliseconds(5));
-                ++questions;
+                receiveState(node, m_nodes[static_cast<std::size_t>(random() * readers)], milliseconds(5));
+                ++readerRequests;
             }
-            const auto question = nextQuestion(m_terms, node.state, node.chance);
-            if (node.isAsking || now < question.at)
+            const auto request = nextRequest(m_timing, node.state, node.jitter);
+            if (node.isAsking || now < request.at)
                 return;
             ++calls;
             node.isAsking = true;
-            node.answerAt = now + question.wait + (node.isCut ? m_terms.readTimeout : duration(milliseconds(5)));
+            node.answerAt = now + request.wait + (node.isCut ? m_timing.readTimeout : duration(milliseconds(5)));
         }
 
         void answer(node& node)
         {
             node.isAsking = false;
-            node.chance = random();
+            node.jitter = random();
             node.state.answeredAt = now;
             node.state.failures = node.isCut ? node.state.failures + 1 : 0;
             if (!node.isCut)
                 node.state.currentAt = node.answerAt - milliseconds(5);
         }
 
-        void hear(node& node, const watching_fleet::node& other, duration age)
+        void receiveState(node& node, const watching_fleet::node& other, duration age)
         {
             if (!other.isLost)
                 node.state.currentAt = std::max(node.state.currentAt, other.state.currentAt - age);
@@ -111,20 +112,20 @@
 
         std::vector<node> m_nodes;
         int m_requestsPerSecond;
-        watch_terms m_terms;
+        watch_timing m_timing;
         std::mt19937_64 m_random { 20261204 };
     };
 
-    /// No node's knowledge is older than a configuration may take to be in force.
+    /// No node's copy is older than the time within which a configuration has to be in force.
     void expectCurrent(watching_fleet& fleet, duration length)
     {
         for (const auto end = fleet.now + length; fleet.now < end;) {
             fleet.run(milliseconds(50));
-            EXPECT_LE(fleet.oldest(), milliseconds(2000));
+            EXPECT_LE(fleet.maxAge(), milliseconds(2000));
         }
     }
 
-    // Guards against calls to the store that grow with the nodes (iarc-mesh-grown quiet-1: 84 nodes, 4,851 calls).
+    // Guards against calls to the store that grow with the number of nodes (84 idle nodes made 4,851 calls).
     TEST(WatchScheduleTest, CallsDoNotGrowWithTheNodes)
     {
         for (const std::size_t nodes : { 14, 84, 690 }) {
@@ -132,13 +133,14 @@
             fleet.run(seconds(30));
             const auto readers = static_cast<int>(fleet_place { 0, nodes }.readers());
             EXPECT_LE(fleet.calls, 30 * readers * 2) << nodes;
-            EXPECT_LE(fleet.questions, 30 * static_cast<int>(nodes) * 2) << nodes;
-            EXPECT_LE(fleet.oldest(), milliseconds(2000)) << nodes;
+            EXPECT_LE(fleet.readerRequests, 30 * static_cast<int>(nodes) * 2) << nodes;
+            EXPECT_LE(fleet.maxAge(), milliseconds(2000)) << nodes;
         }
     }
 
-    // Pattern "the readers are gone": a change has to be known to all nodes within two seconds all the same.
-    TEST(WatchScheduleTest, LossOfTheReadersLeavesNobodyBehind)
+    // Guards against nodes that stop receiving changes when all readers are lost: a change has to reach every node
+    // within two seconds.
+    TEST(WatchScheduleTest, NodesStayCurrentAfterLossOfTheReaders)
     {
         watching_fleet fleet(84, 20);
         fleet.run(seconds(10));
@@ -148,15 +150,15 @@
         EXPECT_LE(fleet.calls, 20 * 84 / 2);
     }
 
-    // Pattern "no traffic at night": nodes that hear nothing still follow the table.
+    // Guards against outdated copies on nodes without traffic, which get no state with responses of other nodes.
     TEST(WatchScheduleTest, NodesWithoutRequestsAskTheStore)
     {
         watching_fleet fleet(14, 0);
         expectCurrent(fleet, seconds(5));
     }
 
-    // Pattern "the store refuses a third of the nodes, the readers first": the others tell them.
-    TEST(WatchScheduleTest, NodesThatAreCutFromTheStoreLearnFromTheOthers)
+    // Guards against outdated copies when the store rejects a third of the nodes, including the readers.
+    TEST(WatchScheduleTest, NodesCutOffFromTheStoreGetChangesFromOthers)
     {
         watching_fleet fleet(84, 20);
         fleet.run(seconds(5));
@@ -164,8 +166,8 @@
         expectCurrent(fleet, seconds(9));
     }
 
-    // Guards against a fleet that floods the store during an outage, and that notices its end late.
-    TEST(WatchScheduleTest, OutageEndsSoonWithFewCalls)
+    // Guards against too many calls to the store during an outage and against late detection of its end.
+    TEST(WatchScheduleTest, EndOfOutageIsDetectedSoonWithFewCalls)
     {
         watching_fleet fleet(84, 20);
         fleet.run(seconds(5));
@@ -175,7 +177,7 @@
         EXPECT_LE(fleet.calls - before, 84 * 3);
         fleet.cutFromStore(0, 84, false);
         fleet.run(milliseconds(2000));
-        EXPECT_LE(fleet.oldest(), milliseconds(2000));
+        EXPECT_LE(fleet.maxAge(), milliseconds(2000));
     }
 
 } // namespace
