--- a/src/mesh/forward_protocol.h
+++ b/src/mesh/forward_protocol.h
@@ -45,8 +45,8 @@
 struct gate_load {
     life_name life;
     double load = 0; ///< Share of the slots in use or waited for.
-    double demand
-        = 0; ///< Slots needed for the requests to its keys (arrival rate times service time), divided by the slots.
+    /// Slots needed for the requests to its keys (arrival rate times service time), divided by the slots.
+    double demand = 0;
     std::int64_t mapVersion = 0; ///< Version of the gate's range map; 0 if it has none.
     bool isDraining = false;
     std::optional<table_statements> tables; ///< Empty until the node has read the tables.
--- a/src/mesh/internal/announcement_service.cpp
+++ b/src/mesh/internal/announcement_service.cpp
@@ -93,7 +93,7 @@
     updateCurrent(announcement);
     m_onChanged();
     // The life is recorded even before the configuration shows that the service is partitioned.
-    m_ownership.report(announcement);
+    m_ownership.handleHeartbeat(announcement);
     if (!m_isPartitioned())
         return exchange->respond(m_port.encodeGrant({}));
     m_deferredExchange = std::move(exchange);
--- a/src/mesh/internal/entry_service.cpp
+++ b/src/mesh/internal/entry_service.cpp
@@ -10,10 +10,10 @@
     constexpr int statusNotFound = 404;
     constexpr int statusBadRequest = 400;
     constexpr int statusUnavailable = 503;
-    constexpr auto retryAfterStart
-        = std::chrono::milliseconds(300); ///< A starting node has read its configuration after this time.
-    constexpr auto retryAfterStop
-        = std::chrono::milliseconds(100); ///< The caller's next connection goes to another node.
+    /// A starting node has read its configuration after this time.
+    constexpr auto retryAfterStart = std::chrono::milliseconds(300);
+    /// The caller's next connection goes to another node.
+    constexpr auto retryAfterStop = std::chrono::milliseconds(100);
     constexpr double retryAfterJitter = 0.6; ///< Width of the jitter, as a share of the Retry-After time.
     constexpr auto defaultTimeout = std::chrono::seconds(60); ///< For requests without a deadline.
     /// Time for the response to reach the caller before the caller's own deadline.
--- a/src/mesh/internal/gate_service.cpp
+++ b/src/mesh/internal/gate_service.cpp
@@ -7,8 +7,8 @@
 namespace {
 
     constexpr std::size_t answerLimitBytes = 32u << 20; ///< Responses are buffered whole; this bounds their memory.
-    constexpr auto sweepInterval
-        = std::chrono::milliseconds(20); ///< Maximum delay before a request that cannot meet its deadline is refused.
+    /// Maximum delay before a request that cannot meet its deadline is refused.
+    constexpr auto sweepInterval = std::chrono::milliseconds(20);
     constexpr auto keyLoadTimeConstant = std::chrono::milliseconds(1500); ///< Hot keys change within seconds.
     constexpr auto maxIdleTime = std::chrono::seconds(8); ///< Unless the backend server's Keep-Alive header is shorter.
     constexpr auto retryAfterKeyMove = std::chrono::milliseconds(300); ///< A move takes about a heartbeat interval.
--- a/src/mesh/internal/gate_service.h
+++ b/src/mesh/internal/gate_service.h
@@ -23,8 +23,8 @@
 struct gate_hooks {
     std::function<key_access(key_number)> keyAccess;
     std::function<std::int64_t()> mapVersion; ///< 0 if the service is not partitioned.
-    std::function<std::optional<table_statements>()>
-        tableStatements; ///< State of this node's copies of the store tables.
+    /// State of this node's copies of the store tables.
+    std::function<std::optional<table_statements>()> tableStatements;
     std::function<void()> onConnectionRefused; ///< The backend server's address refused a connection.
 };
 
--- a/src/mesh/internal/mesh_directory.h
+++ b/src/mesh/internal/mesh_directory.h
@@ -62,8 +62,8 @@
     const mesh_settings& m_settings;
     std::map<instance_id, mesh_peer> m_peers;
     std::map<instance_id, std::unique_ptr<http_client>> m_clients;
-    std::vector<std::unique_ptr<http_client>>
-        m_retired; ///< Clients of removed nodes and former addresses, until their calls end.
+    /// Clients of removed nodes and former addresses, until their calls end.
+    std::vector<std::unique_ptr<http_client>> m_retired;
     std::map<std::string, std::unique_ptr<load_view>> m_views;
 };
 
--- a/src/mesh/internal/owner_exchange.cpp
+++ b/src/mesh/internal/owner_exchange.cpp
@@ -13,8 +13,8 @@
     constexpr const char* versionHeader = "heatherdrift-range-map";
     constexpr const char* confirmedAgoHeader = "heatherdrift-confirmed-ago-us";
     constexpr const char* statementHeader = "heatherdrift-map-statement";
-    constexpr auto answerTimeout
-        = std::chrono::milliseconds(1200); ///< Longer than the timeout of the asked owner's own check at the store.
+    /// Longer than the timeout of the asked owner's own check at the store.
+    constexpr auto answerTimeout = std::chrono::milliseconds(1200);
     constexpr auto pushTimeout = std::chrono::milliseconds(300);
     constexpr std::size_t answerLimitBytes = 4u << 20;
 
--- a/src/mesh/internal/ownership.cpp
+++ b/src/mesh/internal/ownership.cpp
@@ -155,7 +155,7 @@
     return range.owner == m_keeper.life() && isGrantImminent(range) ? key_access::wait : key_access::refuse;
 }
 
-void ownership::report(const backend_announcement& announcement)
+void ownership::handleHeartbeat(const backend_announcement& announcement)
 {
     const auto life = announcement.life();
     if (life != m_keeper.life()) {
@@ -179,7 +179,7 @@
 
 void ownership::onBackendEnded(const life_name& life)
 {
-    m_ended.insert(life);
+    m_endedLives.insert(life);
     if (m_keeper.life() == life)
         m_keeper.distrustGrants();
     propose();
@@ -190,14 +190,14 @@
     // The present life listens at the address of the earlier one, which has therefore ended.
     if (previous.empty() || previous == m_keeper.life())
         return;
-    m_ended.insert(previous);
+    m_endedLives.insert(previous);
     m_previousLife = previous;
     propose();
 }
 
 void ownership::onOtherBackendEnded(const life_name& life)
 {
-    m_ended.insert(life);
+    m_endedLives.insert(life);
     propose();
 }
 
@@ -411,11 +411,11 @@
 {
     // A map change in progress may still assign keys to a life that has just ended, so ended lives are removed from the
     // set only when it is large.
-    if (m_ended.size() > maxEndedLives)
-        std::erase_if(m_ended, [&](const auto& ended) { return !m_map.names(ended); });
+    if (m_endedLives.size() > maxEndedLives)
+        std::erase_if(m_endedLives, [&](const auto& ended) { return !m_map.names(ended); });
     range_map next = m_map;
     const auto& life = m_keeper.life();
-    for (const auto& ended : m_ended) {
+    for (const auto& ended : m_endedLives) {
         if (ended == m_previousLife && life.empty())
             continue;
         // Only a later life of the same backend server takes over its ranges unchanged.
--- a/src/mesh/internal/ownership.h
+++ b/src/mesh/internal/ownership.h
@@ -59,7 +59,7 @@
     row_version version() const { return m_version; }
     key_access access(key_number) const;
     /// Applies the held and released keys in a heartbeat of the backend server.
-    void report(const backend_announcement&);
+    void handleHeartbeat(const backend_announcement&);
     /// The keys granted to the backend server, in response to its last heartbeat.
     hold_grant grant(time_point receivedAt);
     /// Called when the process of the backend server is certain to have ended.
@@ -126,7 +126,7 @@
     row_version m_version = 0;
     bool m_isTableRead = false;
     bool m_isDraining = false;
-    std::set<life_name> m_ended; ///< Lives that are certain to have ended and may still be in the map.
+    std::set<life_name> m_endedLives; ///< Lives that are certain to have ended and may still be in the map.
     std::map<fencing_token, time_point> m_firstSeenAt; ///< Time at which this process first saw an assignment.
     life_name m_previousLife; ///< Previous life of the backend server beside this node.
     bool m_isWriting = false;
@@ -134,8 +134,8 @@
     time_point m_startedAt;
     bool m_storeAnswered = true; ///< Result of the last check of the map.
     row_version m_unresolvedVersion = -1; ///< A write that expects this version may still take effect.
-    std::map<life_name, time_point>
-        m_promisedUntil; ///< Owners whose keys this node must not take over before this time.
+    /// Owners whose keys this node must not take over before this time.
+    std::map<life_name, time_point> m_promisedUntil;
     life_name m_presumedLife;
     row_version m_checkedVersion = 0; ///< Version that the store confirmed as current
     time_point m_checkedAt = time_point::min(); ///< and the time of that check.
--- a/src/mesh/internal/peer_watch.cpp
+++ b/src/mesh/internal/peer_watch.cpp
@@ -8,8 +8,8 @@
     constexpr auto answerTimeout = std::chrono::milliseconds(400); ///< A node responds to a ping within milliseconds.
     constexpr auto maxAnswerAge = std::chrono::milliseconds(1500);
     constexpr auto maxLoadAge = std::chrono::milliseconds(1000);
-    constexpr auto removeAfter
-        = std::chrono::seconds(10); ///< Much longer than a restart or a short network interruption.
+    /// Much longer than a restart or a short network interruption.
+    constexpr auto removeAfter = std::chrono::seconds(10);
     constexpr int minFailures = 5; ///< Consecutive failures before the row of a node is removed.
     constexpr std::size_t maxWatchers = 2; ///< Nodes of a service that ping the others.
     constexpr std::size_t answerLimitBytes = 1024;
--- a/src/mesh/internal/range_balancer.cpp
+++ b/src/mesh/internal/range_balancer.cpp
@@ -56,7 +56,7 @@
     : m_settings(settings)
     , m_directory(directory)
     , m_hooks(std::move(hooks))
-    , m_tick(base, [this] { report(); })
+    , m_tick(base, [this] { sendReport(); })
 {
 }
 
@@ -92,7 +92,7 @@
     });
 }
 
-void range_balancer::report()
+void range_balancer::sendReport()
 {
     const auto now = m_hooks.now();
     const auto candidates = m_hooks.candidates();
--- a/src/mesh/internal/range_balancer.h
+++ b/src/mesh/internal/range_balancer.h
@@ -60,7 +60,7 @@
         time_point movedAt {};
     };
 
-    void report();
+    void sendReport();
     std::optional<instance_id> planner(const std::vector<owner_candidate>&, time_point now) const;
     void storeReport(const load_report&, time_point now);
     double ownDemand(const std::vector<owner_candidate>&) const;
--- a/src/mesh/internal/table_exchange.cpp
+++ b/src/mesh/internal/table_exchange.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-    constexpr auto fetchTimeout = std::chrono::milliseconds(
-        300); ///< Later responses are not awaited; any further response triggers a new fetch.
-    constexpr auto tickInterval
-        = std::chrono::milliseconds(200); ///< Check interval for nodes that get no table state with their requests.
+    /// Later responses are not awaited; any further response triggers a new fetch.
+    constexpr auto fetchTimeout = std::chrono::milliseconds(300);
+    /// Check interval for nodes that get no table state with their requests.
+    constexpr auto tickInterval = std::chrono::milliseconds(200);
     constexpr std::size_t answerLimitBytes = 4u << 20;
     constexpr const char* tableHeader = "heatherdrift-table";
     constexpr const char* afterHeader = "heatherdrift-after";
--- a/src/mesh/internal/watch_schedule.cpp
+++ b/src/mesh/internal/watch_schedule.cpp
@@ -14,8 +14,8 @@
     /// After a change it is not known when the store sent it; a request with a short wait shows that the copy is
     /// current.
     constexpr auto shortWait = std::chrono::milliseconds(50);
-    constexpr int singleNodeFactor
-        = 5; ///< Longer wait of a node that sees no others, as all nodes do when a new system starts.
+    /// Longer wait of a node that sees no others, as all nodes do when a new system starts.
+    constexpr int singleNodeFactor = 5;
     constexpr auto maxWait = std::chrono::seconds(20); ///< Stores end longer waits themselves.
     /// Spreads the requests of nodes that lost their readers: the first responses reach the other nodes in this time.
     constexpr auto maxAgeJitter = std::chrono::milliseconds(250);
--- a/src/mesh/internal/watch_schedule.h
+++ b/src/mesh/internal/watch_schedule.h
@@ -19,8 +19,8 @@
 
 /// Timing of the requests for changes of a table. Shorter times cost more calls to the store.
 struct watch_timing {
-    duration readerWait
-        = std::chrono::milliseconds(1000); ///< How long the store waits for a change in a reader's request.
+    /// How long the store waits for a change in a reader's request.
+    duration readerWait = std::chrono::milliseconds(1000);
     duration batchTime {}; ///< Minimum time between requests, which batches successive changes.
     duration maxAge = std::chrono::milliseconds(1450); ///< Age of the copy at which any node asks the store.
     /// Age of the copy at which a node asks a reader, which costs less than a call to the store.
--- a/src/mesh/platform_port.h
+++ b/src/mesh/platform_port.h
@@ -45,8 +45,8 @@
 struct backend_announcement {
     std::string id;
     std::int64_t startedAt = 0; ///< Milliseconds since 1970; a restart under the same id has a later one.
-    std::int64_t sequence
-        = 0; ///< Increases within a life, so that announcements that arrive out of order are detected.
+    /// Increases within a life, so that announcements that arrive out of order are detected.
+    std::int64_t sequence = 0;
     std::string service;
     endpoint address;
     int slots = 1;
--- a/src/mesh/tests/key_access_test.cpp
+++ b/src/mesh/tests/key_access_test.cpp
@@ -27,7 +27,7 @@
             announcement.id = "i";
             announcement.startedAt = 1;
             announcement.sequence = 1;
-            keys.report(announcement);
+            keys.handleHeartbeat(announcement);
             const auto map = range_map()
                                  .assign({ 0, lastKey }, "other@1", 1)
                                  .assign({ 0, 9 }, announcement.life(), 2, silence.count());
--- a/src/mesh/tests/ownership_history_test.cpp
+++ b/src/mesh/tests/ownership_history_test.cpp
@@ -230,7 +230,7 @@
                     announcement.holds.push_back({ range.keys, range.fence });
             }
             announcement.released = backend.released;
-            node.keys->report(announcement);
+            node.keys->handleHeartbeat(announcement);
             const auto grant = node.keys->grant(m_now);
             if (!grant.isValid || chance(5)) // The response may be lost.
                 return;
--- a/src/mesh/tests/watch_schedule_test.cpp
+++ b/src/mesh/tests/watch_schedule_test.cpp
@@ -11,8 +11,8 @@
     using std::chrono::seconds;
 
     constexpr auto step = milliseconds(10);
-    constexpr auto requestTime
-        = milliseconds(200); ///< Age of a node's state when a response carries it to another node.
+    /// Age of a node's state when a response carries it to another node.
+    constexpr auto requestTime = milliseconds(200);
     const time_point start { std::chrono::hours(1) };
 
     /// Nodes that watch one table: each polls the store by the schedule and gets the state of a random node with each
