--- a/src/admission/adaptive_limit.h
+++ b/src/admission/adaptive_limit.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "admission/ageing_quantiles.h"
+#include "admission/windowed_quantiles.h"
 
 #include <optional>
 
@@ -8,18 +8,18 @@
 
 /// Settings of adaptive_limit; see docs/admission.md.
 struct adaptive_limit_settings {
-    int least = 2; ///< The limit never falls below this number of slots.
+    int minLimit = 2; ///< The limit never falls below this number of slots.
     duration interval = std::chrono::seconds(1); ///< Time between changes.
-    int leastCalls = 16; ///< An interval goes on until it has this many calls, unless one was shed.
-    double tolerance = 2; ///< Latency above the baseline by this factor is overload.
-    double decrease = 0.8; ///< Smallest factor of one decrease.
-    double increase = 0.5; ///< Slots regained in an interval without overload.
+    int minCalls = 16; ///< An interval is extended until it has this many calls, unless the server shed one.
+    double tolerance = 2; ///< A median latency above the baseline by this factor counts as overload.
+    double decrease = 0.8; ///< Lower bound of the factor that one decrease applies to the limit.
+    double increase = 0.5; ///< Slots added after an interval without overload.
 
     bool operator==(const adaptive_limit_settings&) const = default;
 };
 
 /// Lowers the concurrency limit while the backend server sheds calls or slows down, and raises it slowly again up to
-/// the configured slots. Feed it short calls only: the latency of long calls depends on their size.
+/// the configured slots. Only short calls may be observed: the latency of long calls depends on their size.
 class adaptive_limit {
 public:
     explicit adaptive_limit(int slots, const adaptive_limit_settings& = {});
@@ -29,7 +29,7 @@
     /// The backend server refused a call because of its load.
     void observeShed(time_point now);
     void setSlots(int slots);
-    /// Slots to use now, from 1 to the configured number.
+    /// Current concurrency limit, from 1 to the configured number of slots.
     int limit() const;
 
 private:
--- a/src/admission/admission_level.h
+++ b/src/admission/admission_level.h
@@ -9,10 +9,10 @@
 constexpr int priorityCount = 10;
 constexpr std::size_t levelCount = 2 * priorityCount;
 
-/// Calls of one class and priority.
+/// Class and priority of a call.
 struct admission_level {
     call_length length = call_length::short_call;
-    int priority = 5; ///< 0 (first to be refused) to 9.
+    int priority = 5; ///< 0 (refused first) to 9.
 
     /// 0 to levelCount - 1; grows with the priority within a class.
     std::size_t index() const
--- a/src/admission/backend_admission.h
+++ b/src/admission/backend_admission.h
@@ -11,11 +11,11 @@
 
 namespace heatherdrift {
 
-/// A call that asks to run on the backend server.
+/// A call to be admitted to the backend server.
 struct admission_call {
-    std::uint64_t id = 0; ///< Unique among the calls that wait or run.
+    std::uint64_t id = 0; ///< Unique among the waiting and running calls.
     work_kind kind;
-    call_length configured = call_length::short_call; ///< By its selector.
+    call_length configured = call_length::short_call; ///< Class configured by the request selector.
     int priority = 5; ///< 0 to 9.
     std::string customer;
     time_point deadline {};
@@ -28,8 +28,8 @@
 enum class admission_end {
     answered,
     shed, ///< The backend server refused it because of its load.
-    cancelled, ///< By its caller or at its deadline.
-    failed, ///< Without an answer, for example by a crash.
+    cancelled, ///< By the caller or at the deadline.
+    failed, ///< No response, for example because of a crash.
 };
 
 /// Settings of backend_admission.
@@ -37,32 +37,32 @@
     admission_settings queue;
     classifier_settings classes; ///< Its short limit replaces the queue's.
     service_time_defaults serviceTimes;
-    quarantine_settings crashes;
+    quarantine_settings quarantineSettings;
     adaptive_limit_settings adaptive;
     bool adaptsLimit = false;
-    std::size_t mostWaitingSuspects = 64;
+    std::size_t maxWaitingSuspects = 64;
 };
 
-/// Replaceable rules; an empty function means the default rule.
+/// Replacements for the default policies; an empty function means the default.
 struct backend_admission_hooks {
     std::function<call_length(const work_kind&, call_length configured)> classify;
     std::function<service_quantiles(const work_kind&, call_length, time_point now)> estimate;
     admission_hooks queue;
 };
 
-/// The admission to one backend server: class, service time, quarantine, queue and limit of each call. Each submitted
-/// call leaves exactly once: by an action or by cancel().
+/// Admission control of one backend server: combines classification, service time estimates, quarantine, queue and
+/// concurrency limit. Each submitted call leaves exactly once: by an action or by cancel().
 class backend_admission {
 public:
     explicit backend_admission(const backend_admission_settings&, backend_admission_hooks = {});
     backend_admission(const backend_admission&) = delete;
     backend_admission& operator=(const backend_admission&) = delete;
 
-    /// The call waits if no action names it.
+    /// The call is queued if none of the returned actions has its id.
     admission_actions submit(const admission_call&, time_point now);
     /// A running call ended. Unknown ids are ignored.
     admission_actions finish(std::uint64_t id, admission_end, time_point now);
-    /// Removes a waiting call; false if it does not wait.
+    /// Removes a waiting call; returns false if the call is not waiting.
     bool cancel(std::uint64_t id, time_point now);
     /// To be called at nextEvent().
     admission_actions advance(time_point now);
@@ -70,10 +70,10 @@
     /// The backend server announced its number of slots.
     admission_actions setSlots(int slots, time_point now);
 
-    /// The backend server crashed; returns the strikes against the running calls for the other nodes. The calls must
-    /// still be reported to finish().
+    /// Records a crash of the backend server; returns the crash attributions of the running calls, to be sent to the
+    /// other nodes. The calls must still be reported to finish().
     std::vector<crash_strike> crashed(std::string_view crashId, time_point now);
-    void merge(const std::vector<crash_strike>& strikes) { m_quarantine.merge(strikes); }
+    void merge(const std::vector<crash_strike>& attributions) { m_quarantine.merge(attributions); }
 
     const admission_queue& queue() const { return m_queue; }
 
@@ -90,15 +90,15 @@
     };
 
     admission_hooks queueHooks(admission_hooks);
-    void enter(const admission_call&, bool isIsolated, admission_actions&, time_point now);
+    void submitToQueue(const admission_call&, bool isIsolated, admission_actions&, time_point now);
     void addSuspect(const admission_call&, admission_actions&);
     void startSuspects(admission_actions&, time_point now);
     void expireSuspects(admission_actions&, time_point now);
-    void note(const admission_actions&, time_point now);
+    void recordActions(const admission_actions&, time_point now);
     void release(std::uint64_t id, bool answered, time_point now);
     void observe(call_state&, admission_end, time_point now);
     void observeClass(call_state&, duration used, time_point now);
-    admission_actions settle(admission_actions, time_point now);
+    admission_actions applyPendingChanges(admission_actions, time_point now);
 
     backend_admission_settings m_settings;
     backend_admission_hooks m_hooks;
@@ -107,8 +107,8 @@
     quarantine m_quarantine;
     adaptive_limit m_limit;
     admission_queue m_queue;
-    std::unordered_map<std::uint64_t, call_state> m_calls; // In the queue or running.
-    std::deque<admission_call> m_suspects; // Waiting for their isolated run, in order of arrival.
+    std::unordered_map<std::uint64_t, call_state> m_calls; // Queued and running calls.
+    std::deque<admission_call> m_suspects; // Calls waiting for an isolated run, in order of arrival.
 };
 
 } // namespace heatherdrift
--- a/src/admission/benchmarks/admission_benchmark.cpp
+++ b/src/admission/benchmarks/admission_benchmark.cpp
@@ -11,7 +11,7 @@
     using namespace heatherdrift::simulation;
     const std::map<std::string_view, std::function<void()>> comparisons {
         { "blocking", compareClassBlocking },
-        { "customers", compareCustomers },
+        { "customers", compareWorkspaces },
         { "retries", compareRetries },
         { "servers", compareServerChoice },
         { "swing", compareDemandSwing },
--- a/src/admission/benchmarks/admission_microbenchmark.cpp
+++ b/src/admission/benchmarks/admission_microbenchmark.cpp
@@ -10,10 +10,10 @@
 
     constexpr duration serviceTime = 2ms;
 
-    admission_request requestFor(std::uint64_t id, time_point now, std::uint64_t customers, duration timeout)
+    admission_request requestFor(std::uint64_t id, time_point now, std::uint64_t workspaces, duration timeout)
     {
         return { id, { call_length::short_call, static_cast<int>(id % 3) + 4 },
-            "customer-" + std::to_string(id % customers), now + timeout, serviceTime, 3 * serviceTime };
+            "customer-" + std::to_string(id % workspaces), now + timeout, serviceTime, 3 * serviceTime };
     }
 
     // One call that finds a free slot: submit and finish.
@@ -35,23 +35,23 @@
         admission_settings settings;
         settings.shortCalls = { 1'000'000, 1h, 1h };
         admission_queue queue(settings);
-        const auto customers = static_cast<std::uint64_t>(state.range(1));
+        const auto workspaces = static_cast<std::uint64_t>(state.range(1));
         time_point now { 10s };
         std::uint64_t id = 0;
         std::vector<std::uint64_t> running;
-        const auto note = [&](const admission_actions& actions) {
+        const auto collectRunning = [&](const admission_actions& actions) {
             for (const auto& action : actions) {
                 if (action.step == admission_step::run)
                     running.push_back(action.id);
             }
         };
         while (queue.waiting(call_length::short_call) < static_cast<std::size_t>(state.range(0)))
-            note(queue.submit(requestFor(++id, now, customers, 1h), now));
+            collectRunning(queue.submit(requestFor(++id, now, workspaces, 1h), now));
         std::size_t next = 0;
         for (auto _ : state) {
             now += 10us;
-            note(queue.submit(requestFor(++id, now, customers, 1h), now));
-            note(queue.finish(running[next++], now));
+            collectRunning(queue.submit(requestFor(++id, now, workspaces, 1h), now));
+            collectRunning(queue.finish(running[next++], now));
         }
     }
 
@@ -67,7 +67,7 @@
             benchmark::DoNotOptimize(queue.submit(requestFor(++id, now, 4, 50ms), now));
     }
 
-    // The whole path of one call: quarantine, class, estimate, queue, and what is learnt from its end.
+    // The whole path of one call: quarantine, class, estimate, queue, and the observations when it finishes.
     void admitWhole(benchmark::State& state)
     {
         backend_admission admission({});
--- a/src/admission/benchmarks/class_blocking.cpp
+++ b/src/admission/benchmarks/class_blocking.cpp
@@ -27,7 +27,7 @@
         double p99 = 0;
         double p999 = 0;
         double refused = 0; ///< Share of the short calls that were refused or late.
-        double longWork = 0; ///< Good work of long calls, in slots.
+        double longWork = 0; ///< Work of long calls that ended in time, in slots.
     };
 
     std::vector<call> callsFor(const load& offered, bool withLong, std::uint64_t seed)
@@ -35,17 +35,17 @@
         const double shortSlots = offered.total * offered.shortPart * slots;
         const double longSlots = withLong ? offered.total * (1 - offered.shortPart) * slots : 0;
         const call_stream shortCalls { .level = { call_length::short_call, 5 },
-            .customers = { "a", "b", "c" },
+            .workspaces = { "a", "b", "c" },
             .timeouts = { 100ms, 300ms, 1s },
             .slotsOffered = [=](time_point) { return shortSlots; },
-            .mostSlotsOffered = shortSlots,
+            .maxSlotsOffered = shortSlots,
             .meanService = shortMean,
             .service = logNormal(shortMean, 0.6) };
         const call_stream longCalls { .level = { call_length::long_call, 5 },
-            .customers = { "a", "b", "c" },
+            .workspaces = { "a", "b", "c" },
             .timeouts = { 10s },
             .slotsOffered = [=](time_point) { return longSlots; },
-            .mostSlotsOffered = longSlots,
+            .maxSlotsOffered = longSlots,
             .meanService = longMean,
             .service = uniform(100 * shortMean, 1000 * shortMean) };
         return generate({ shortCalls, longCalls }, time_point(runTime), seed);
--- a/src/admission/benchmarks/demand_swing.cpp
+++ b/src/admission/benchmarks/demand_swing.cpp
@@ -52,11 +52,11 @@
                 const bool isLong = length == call_length::long_call;
                 const double part = offered.parts[index] * (isLong ? offered.longPart : 1 - offered.longPart) * slots;
                 streams.push_back({ .level = { length, priorities[index] },
-                    .customers = { "a", "b", "c", "d" },
+                    .workspaces = { "a", "b", "c", "d" },
                     .timeouts
                     = isLong ? std::vector<duration> { 5s, 10s } : std::vector<duration> { 50ms, 200ms, 1s, 5s },
                     .slotsOffered = [part](time_point now) { return part * loadAt(now); },
-                    .mostSlotsOffered = part * peakLoad,
+                    .maxSlotsOffered = part * peakLoad,
                     .meanService = isLong ? longMean : shortMean,
                     .service = isLong ? uniform(100 * shortMean, 1000 * shortMean) : logNormal(shortMean, 0.6) });
             }
@@ -70,7 +70,7 @@
         double all = 0; ///< Mean of all priorities at the peak, as a share of capacity.
         double allWorst = 0; ///< Worst window from the start of the swing on.
         double recovery = 0; ///< See recoveryTime().
-        double waitedInVain = 0; ///< Share of the failed calls that waited first.
+        double failedAfterWaiting = 0; ///< Share of the failed calls that were queued before they failed.
         double late = 0; ///< Share of the capacity at the peak spent on calls that ended late.
     };
 
@@ -108,8 +108,8 @@
 
     double sum(const std::array<double, 3>& values) { return values[0] + values[1] + values[2]; }
 
-    // Seconds from the end of the swing until no call fails any more and the latency of short calls is back: p99 in
-    // each 100 ms within twice that before the swing.
+    // Seconds from the end of the load peak until no call fails any more and the p99 latency of short calls in each
+    // 100 ms is at most twice that before the peak.
     double recoveryTime(const std::vector<call>& calls, const std::vector<call_result>& results)
     {
         constexpr duration step = 100ms;
@@ -182,10 +182,10 @@
         for (const auto& call : calls) {
             const auto& result = results[call.id - 1];
             failed += result.end != call_end::good;
-            measured.waitedInVain += result.end != call_end::good && result.endedAt > call.arrival;
+            measured.failedAfterWaiting += result.end != call_end::good && result.endedAt > call.arrival;
         }
         measured.recovery = recoveryTime(calls, results);
-        measured.waitedInVain /= std::max(failed, 1.0);
+        measured.failedAfterWaiting /= std::max(failed, 1.0);
         return measured;
     }
 
@@ -200,7 +200,7 @@
             100 * std::ranges::min_element(all, {}, &figures::top)->top,
             100 * std::ranges::min_element(all, {}, &figures::allWorst)->allWorst,
             100 * medianOf(all, [](const figures& one) { return one.late; }),
-            100 * medianOf(all, [](const figures& one) { return one.waitedInVain; }),
+            100 * medianOf(all, [](const figures& one) { return one.failedAfterWaiting; }),
             std::ranges::max_element(all, {}, &figures::recovery)->recovery);
     }
 
--- a/src/admission/benchmarks/retry_storm.cpp
+++ b/src/admission/benchmarks/retry_storm.cpp
@@ -20,36 +20,36 @@
     constexpr time_point peakStart { 5s };
     constexpr time_point peakEnd { 7s };
     constexpr time_point runEnd { 22s };
-    constexpr int mostAttempts = 30;
+    constexpr int maxAttempts = 30;
 
-    enum class resending { none, unbounded, budget };
+    enum class retry_mode { none, unbounded, budget };
 
-    const char* nameOf(resending kind)
+    const char* nameOf(retry_mode kind)
     {
-        return kind == resending::none ? "no retry" : kind == resending::unbounded ? "unbounded" : "budget";
+        return kind == retry_mode::none ? "no retry" : kind == retry_mode::unbounded ? "unbounded" : "budget";
     }
 
     std::vector<call> callsFor(std::uint64_t seed)
     {
         const call_stream stream { .level = { call_length::short_call, 5 },
-            .customers = { "a", "b", "c" },
+            .workspaces = { "a", "b", "c" },
             .timeouts = { 100ms, 200ms, 400ms },
             .slotsOffered
             = [](time_point now) { return slots * (now >= peakStart && now < peakEnd ? peakLoad : restLoad); },
-            .mostSlotsOffered = slots * peakLoad,
+            .maxSlotsOffered = slots * peakLoad,
             .meanService = shortMean,
             .service = logNormal(shortMean, 0.6) };
         return generate({ stream }, runEnd, seed);
     }
 
-    // Unbounded: callers send a failed call again at once, up to 30 times. Budget: with backoff, within the budget.
-    resend_rule ruleFor(resending kind, const std::vector<call>& calls, std::uint64_t seed)
+    // Unbounded: callers resend a failed call immediately, up to 30 attempts. Budget: with backoff, within the budget.
+    retry_rule ruleFor(retry_mode kind, const std::vector<call>& calls, std::uint64_t seed)
     {
-        if (kind == resending::none)
+        if (kind == retry_mode::none)
             return [](const call&, time_point) { return std::nullopt; };
-        if (kind == resending::unbounded) {
+        if (kind == retry_mode::unbounded) {
             return [](const call& failed, time_point now) -> std::optional<time_point> {
-                if (failed.attempt >= mostAttempts)
+                if (failed.attempt >= maxAttempts)
                     return std::nullopt;
                 return now + duration(1);
             };
@@ -60,7 +60,7 @@
         return [=, &calls](const call& failed, time_point now) -> std::optional<time_point> {
             for (; *recorded < calls.size() && calls[*recorded].arrival <= now; ++*recorded)
                 budget->recordFirstAttempt(calls[*recorded].arrival);
-            if (failed.attempt >= mostAttempts || !budget->tryRetry(now))
+            if (failed.attempt >= maxAttempts || !budget->tryRetry(now))
                 return std::nullopt;
             return nextAttempt(failed.attempt, now, now + 1s, shortMean, random);
         };
@@ -73,7 +73,7 @@
         double recovery = 0; ///< Seconds after the peak until the last first attempt that failed; negative if none did.
     };
 
-    figures measure(scheduler& discipline, resending kind, std::uint64_t seed)
+    figures measure(scheduler& discipline, retry_mode kind, std::uint64_t seed)
     {
         const auto calls = callsFor(seed);
         const auto log = run(discipline, calls, ruleFor(kind, calls, seed));
@@ -107,7 +107,7 @@
         "attempt, s after the peak |\n"
         "|---|---|---|---|---|---|\n");
     for (const auto kind : { discipline::fifo, discipline::fifo_expiry, discipline::policy }) {
-        for (const auto retries : { resending::none, resending::unbounded, resending::budget }) {
+        for (const auto retries : { retry_mode::none, retry_mode::unbounded, retry_mode::budget }) {
             std::vector<figures> all;
             for (const auto seed : seeds)
                 all.push_back(measure(*makeScheduler(kind, slots), retries, seed));
--- a/src/admission/benchmarks/schedulers.cpp
+++ b/src/admission/benchmarks/schedulers.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-    constexpr std::size_t mostWaiting = 4000;
+    constexpr std::size_t maxWaiting = 4000;
 
     backend_admission_settings policySettings(int slots)
     {
@@ -17,7 +17,7 @@
 
 admission_actions fifo_scheduler::submit(const call& arrived, time_point now)
 {
-    if (m_waiting.size() >= mostWaiting)
+    if (m_waiting.size() >= maxWaiting)
         return { { arrived.id, admission_step::refuse, notRun(error_code::overloaded, "") } };
     m_waiting.push_back(arrived);
     return start(now);
@@ -58,7 +58,7 @@
                                   .kind = { "selector", isShort ? "GET /short" : "GET /long" },
                                   .configured = m_marksAllShort ? call_length::short_call : arrived.level.length,
                                   .priority = arrived.level.priority,
-                                  .customer = arrived.customer,
+                                  .customer = arrived.workspace,
                                   .deadline = arrived.deadline,
                                   .fingerprint = arrived.id },
         now);
--- a/src/admission/benchmarks/schedulers.h
+++ b/src/admission/benchmarks/schedulers.h
@@ -30,10 +30,10 @@
     std::deque<call> m_waiting;
 };
 
-/// backend_admission, which learns service times and classes from the ends of calls.
+/// Runs backend_admission, which estimates service times and classes from finished calls.
 class policy_scheduler : public scheduler {
 public:
-    /// `marksAllShort`: the selectors mark all calls as short, also those that take long.
+    /// `marksAllShort`: the configured class of all calls is short, including long ones.
     explicit policy_scheduler(int slots, bool marksAllShort = false);
 
     admission_actions submit(const call&, time_point now) override;
--- a/src/admission/benchmarks/server_choice.cpp
+++ b/src/admission/benchmarks/server_choice.cpp
@@ -109,7 +109,7 @@
         auto operator<=>(const event&) const = default;
     };
 
-    // Calls enter at nodes in turn; each node sends them to a server of its choice, whose queue is first in, first out.
+    // Calls arrive at the nodes in turn; each node sends them to the server that it picks, whose queue is FIFO.
     class cluster_run {
     public:
         cluster_run(const scenario& situation, bool usesView, std::uint64_t seed)
@@ -118,7 +118,7 @@
             , m_views(makeViews(situation.slowdown(0, {}) > 3, seed))
             , m_calls(generate({ { .level = {},
                                    .slotsOffered = [](time_point) { return load * slots * serverCount; },
-                                   .mostSlotsOffered = load * slots * serverCount,
+                                   .maxSlotsOffered = load * slots * serverCount,
                                    .meanService = serviceMean,
                                    .service = logNormal(serviceMean, 0.6) } },
                   runEnd, seed))
--- a/src/admission/benchmarks/simulation.cpp
+++ b/src/admission/benchmarks/simulation.cpp
@@ -26,18 +26,18 @@
     void generateStream(std::vector<call>& calls, const call_stream& stream, time_point end, std::uint64_t seed)
     {
         const auto random = seededRandom(seed);
-        const double mostRate = stream.mostSlotsOffered / inSeconds(stream.meanService);
-        if (mostRate <= 0)
+        const double maxRate = stream.maxSlotsOffered / inSeconds(stream.meanService);
+        if (maxRate <= 0)
             return;
-        for (double at = -std::log(1 - random()) / mostRate; at < inSeconds(end.time_since_epoch());
-             at += -std::log(1 - random()) / mostRate) {
+        for (double at = -std::log(1 - random()) / maxRate; at < inSeconds(end.time_since_epoch());
+             at += -std::log(1 - random()) / maxRate) {
             const time_point arrival(fromSeconds(at));
             const duration service = std::max(stream.service(random), duration(1));
-            const auto& customer = pickOne(stream.customers, random);
+            const auto& workspace = pickOne(stream.workspaces, random);
             const auto timeout = pickOne(stream.timeouts, random);
-            // Thinning turns the process of constant rate into one of the profile's rate.
-            if (random() * stream.mostSlotsOffered < stream.slotsOffered(arrival))
-                calls.push_back({ 0, stream.level, customer, arrival, arrival + timeout, service });
+            // Thinning of a Poisson process: reduces the constant rate to the rate of the load profile.
+            if (random() * stream.maxSlotsOffered < stream.slotsOffered(arrival))
+                calls.push_back({ 0, stream.level, workspace, arrival, arrival + timeout, service });
         }
     }
 
@@ -53,9 +53,9 @@
 
     class server_run {
     public:
-        server_run(scheduler& discipline, std::vector<call> calls, const resend_rule& resend)
+        server_run(scheduler& discipline, std::vector<call> calls, const retry_rule& retryRule)
             : m_discipline(discipline)
-            , m_resend(resend)
+            , m_retryRule(retryRule)
             , m_log { std::move(calls), {} }
             , m_firstCalls(m_log.calls.size())
         {
@@ -90,12 +90,12 @@
             else if (event.kind == event_kind::end)
                 apply(m_discipline.finish(m_log.calls[event.id - 1], m_log.results[event.id - 1].end, now), now);
             else
-                timeOut(event.id, now);
+                handleTimeout(event.id, now);
         }
 
         void submit(std::uint64_t id, time_point now)
         {
-            if (m_resend)
+            if (m_retryRule)
                 m_events.push({ m_log.calls[id - 1].deadline, event_kind::timeout, id });
             apply(m_discipline.submit(m_log.calls[id - 1], now), now);
         }
@@ -119,7 +119,7 @@
             }
         }
 
-        void timeOut(std::uint64_t id, time_point now)
+        void handleTimeout(std::uint64_t id, time_point now)
         {
             const auto& result = m_log.results[id - 1];
             const bool hasEnded
@@ -130,7 +130,7 @@
 
         void fail(const call& failed, time_point now)
         {
-            const auto at = m_resend ? m_resend(failed, now) : std::nullopt;
+            const auto at = m_retryRule ? m_retryRule(failed, now) : std::nullopt;
             if (!at)
                 return;
             auto again = failed;
@@ -144,7 +144,7 @@
         }
 
         scheduler& m_discipline;
-        const resend_rule& m_resend;
+        const retry_rule& m_retryRule;
         run_log m_log;
         std::size_t m_firstCalls;
         std::priority_queue<event, std::vector<event>, std::greater<>> m_events;
@@ -159,10 +159,9 @@
     };
 }
 
-std::function<duration(const random_function&)> uniform(duration least, duration most)
+std::function<duration(const random_function&)> uniform(duration min, duration max)
 {
-    return [least, most](
-               const random_function& random) { return least + fromSeconds(inSeconds(most - least) * random()); };
+    return [min, max](const random_function& random) { return min + fromSeconds(inSeconds(max - min) * random()); };
 }
 
 std::vector<call> generate(const std::vector<call_stream>& streams, time_point end, std::uint64_t seed)
@@ -177,9 +176,9 @@
     return calls;
 }
 
-run_log run(scheduler& discipline, std::vector<call> calls, const resend_rule& resend)
+run_log run(scheduler& discipline, std::vector<call> calls, const retry_rule& retryRule)
 {
-    return server_run(discipline, std::move(calls), resend).run();
+    return server_run(discipline, std::move(calls), retryRule).run();
 }
 
 double quantile(const std::vector<double>& sorted, double share)
--- a/src/admission/benchmarks/simulation.h
+++ b/src/admission/benchmarks/simulation.h
@@ -9,11 +9,11 @@
 
 namespace heatherdrift::simulation {
 
-/// A call of the synthetic load. Its service time is known to the simulated server only.
+/// A call of the synthetic load. The service time is used by the simulated server only, not by the scheduler.
 struct call {
     std::uint64_t id = 0;
     admission_level level;
-    std::string customer;
+    std::string workspace;
     time_point arrival {};
     time_point deadline {};
     duration service {};
@@ -36,41 +36,41 @@
     virtual admission_actions finish(const call&, call_end, time_point now) = 0;
     virtual admission_actions advance(time_point) { return {}; }
     virtual time_point nextEvent(time_point) const { return time_point::max(); }
-    /// Whether the server is told the deadline and stops a call there.
+    /// Whether the server receives the deadline and aborts a call there.
     virtual bool sendsDeadlines() const { return true; }
 };
 
 /// One stream of calls with the same distribution. Arrivals are a Poisson process.
 struct call_stream {
     admission_level level;
-    std::vector<std::string> customers { "a" };
+    std::vector<std::string> workspaces { "a" };
     std::vector<duration> timeouts { std::chrono::seconds(5) };
     std::function<double(time_point)> slotsOffered; ///< Work that arrives, in slots.
-    double mostSlotsOffered = 0; ///< Upper bound of it.
+    double maxSlotsOffered = 0; ///< Upper bound of it.
     duration meanService {};
     std::function<duration(const random_function&)> service;
 };
 
 /// Log-normal with the mean and the standard deviation of its logarithm.
 std::function<duration(const random_function&)> logNormal(duration mean, double sigma);
-std::function<duration(const random_function&)> uniform(duration least, duration most);
+std::function<duration(const random_function&)> uniform(duration min, duration max);
 
 /// Calls of all streams from 0 to the end, by arrival; ids count from 1. Each stream has its own random sequence, so
 /// that a stream is the same with and without the others.
 std::vector<call> generate(const std::vector<call_stream>&, time_point end, std::uint64_t seed);
 
-/// What the caller of a failed call does: the time at which it sends the call again, if it does. A call has failed for
-/// its caller when it is refused or when its deadline passes.
-using resend_rule = std::function<std::optional<time_point>(const call& failed, time_point now)>;
+/// Retry policy of the caller: the time at which it resends a failed call, or nullopt. A call fails when it is refused
+/// or when its deadline passes.
+using retry_rule = std::function<std::optional<time_point>(const call& failed, time_point now)>;
 
-/// Calls that were sent, with those sent again, and their results; the call with id i is at position i - 1.
+/// All calls including retries, and their results; the call with id i is at position i - 1.
 struct run_log {
     std::vector<call> calls;
     std::vector<call_result> results;
 };
 
 /// Runs the calls on one server.
-run_log run(scheduler&, std::vector<call>, const resend_rule& = {});
+run_log run(scheduler&, std::vector<call>, const retry_rule& = {});
 
 /// The value below which the share of the sorted values lies; 0 without values.
 double quantile(const std::vector<double>& sorted, double share);
--- a/src/admission/benchmarks/customer_competition.cpp
+++ b/src/admission/benchmarks/workspace_competition.cpp
@@ -22,14 +22,14 @@
     {
         const bool isLong = length == call_length::long_call;
         std::vector<call_stream> streams;
-        for (const auto& [customer, part] :
+        for (const auto& [workspace, part] :
             std::map<std::string, double> { { "big", 2 }, { "small", 0.25 }, { "tiny", 0.05 } }) {
             const double offered = part * classSlots;
             streams.push_back({ .level = { length, 5 },
-                .customers = { customer },
+                .workspaces = { workspace },
                 .timeouts = isLong ? std::vector<duration> { 5s, 10s } : std::vector<duration> { 50ms, 200ms, 1s },
                 .slotsOffered = [offered](time_point) { return offered; },
-                .mostSlotsOffered = offered,
+                .maxSlotsOffered = offered,
                 .meanService = isLong ? longMean : shortMean,
                 .service = isLong ? uniform(100 * shortMean, 1000 * shortMean) : logNormal(shortMean, 0.6) });
         }
@@ -37,7 +37,7 @@
     }
 
     struct figures {
-        std::map<std::string, double> served; ///< Share of the customer's calls that were good.
+        std::map<std::string, double> served; ///< Share of the workspace's calls that were good.
         std::map<std::string, double> wait; ///< p99 of the wait of its good calls, in ms.
     };
 
@@ -48,22 +48,22 @@
         std::map<std::string, double> counts;
         for (const auto& call : log.calls) {
             const auto& result = log.results[call.id - 1];
-            counts[call.customer] += 1;
+            counts[call.workspace] += 1;
             if (result.end == call_end::good)
-                waits[call.customer].push_back(1000 * inSeconds(result.startedAt - call.arrival));
+                waits[call.workspace].push_back(1000 * inSeconds(result.startedAt - call.arrival));
         }
         figures measured;
-        for (auto& [customer, values] : waits) {
+        for (auto& [workspace, values] : waits) {
             std::ranges::sort(values);
-            measured.served[customer] = static_cast<double>(values.size()) / counts[customer];
-            measured.wait[customer] = quantile(values, 0.99);
+            measured.served[workspace] = static_cast<double>(values.size()) / counts[workspace];
+            measured.wait[workspace] = quantile(values, 0.99);
         }
         return measured;
     }
 
 } // namespace
 
-void compareCustomers()
+void compareWorkspaces()
 {
     std::printf(
         "\nCustomers at one priority: big offers 200%% of the slots of the class, small 25%%, tiny 5%%\n\n"
@@ -74,11 +74,11 @@
             std::vector<figures> all;
             for (const auto seed : seeds)
                 all.push_back(measure(*makeScheduler(kind, slots), callsFor(length, isLong ? slots / 2 : slots, seed)));
-            const auto served = [&](const char* customer) {
-                return 100 * medianOf(all, [&](const figures& one) { return one.served.at(customer); });
+            const auto served = [&](const char* workspace) {
+                return 100 * medianOf(all, [&](const figures& one) { return one.served.at(workspace); });
             };
-            const auto wait = [&](const char* customer) {
-                return medianOf(all, [&](const figures& one) { return one.wait.at(customer); });
+            const auto wait = [&](const char* workspace) {
+                return medianOf(all, [&](const figures& one) { return one.wait.at(workspace); });
             };
             std::printf("| %s | %s | %.1f%% / %.1f%% / %.1f%% | %.1f / %.1f / %.1f |\n", isLong ? "long" : "short",
                 nameOf(kind), served("big"), served("small"), served("tiny"), wait("big"), wait("small"), wait("tiny"));
--- a/src/admission/decaying_sum.h
+++ b/src/admission/decaying_sum.h
@@ -4,14 +4,14 @@
 
 namespace heatherdrift {
 
-/// Sum of values that lose weight exponentially with age. The order in which values are added does not matter.
+/// Sum of values with exponential decay. The result does not depend on the order in which values are added.
 class decaying_sum {
 public:
     explicit decaying_sum(duration timeConstant);
 
     void add(double value, time_point now);
     double value(time_point now) const;
-    /// Value per second, once it has been fed for a few time constants.
+    /// Added value per second; accurate once values have been added for a few time constants.
     double rate(time_point now) const;
 
 private:
@@ -22,15 +22,16 @@
     time_point m_at {};
 };
 
-/// Average of values that lose weight exponentially with age.
+/// Average of values weighted with exponential decay.
 class decaying_average {
 public:
     explicit decaying_average(duration timeConstant);
 
     void add(double value, time_point now);
-    /// The average with the prior value mixed in at weight 1, so that it returns to the prior value without new values.
+    /// The average including the prior value at weight 1, so that it returns to the prior value when no values are
+    /// added.
     double value(double prior, time_point now) const;
-    /// Number of values, each counted by its weight.
+    /// Sum of the weights of the values.
     double weight(time_point now) const;
 
 private:
--- a/src/admission/demand_meter.h
+++ b/src/admission/demand_meter.h
@@ -6,10 +6,10 @@
 
 namespace heatherdrift {
 
-/// Measures the work that arrives at each level, in slots: 3.0 means that it keeps three slots busy.
+/// Measures the work that arrives at each level, in slots: 3.0 is enough work to keep three slots busy.
 class demand_meter {
 public:
-    /// Older work loses weight with this time constant.
+    /// Work decays with this time constant.
     explicit demand_meter(duration timeConstant);
 
     void add(admission_level, duration work, time_point now);
--- a/src/admission/internal/adaptive_limit.cpp
+++ b/src/admission/internal/adaptive_limit.cpp
@@ -14,11 +14,11 @@
 namespace {
 
     constexpr std::array<double, 1> medianOnly { 0.5 };
-    // The baseline follows lower medians at once and higher ones by 1% per interval, so that a lasting change of the
-    // work (not of the load) is accepted within about a minute.
+    // The baseline follows lower medians at once and rises by 1% per interval towards higher ones, so that a lasting
+    // change of the work (not of the load) is accepted within about a minute.
     constexpr double baselineDrift = 1.01;
     // Below this difference the median of sub-millisecond calls varies by more than the tolerance without any load.
-    constexpr duration leastGrowth = 2ms;
+    constexpr duration minGrowth = 2ms;
 
 } // namespace
 
@@ -52,10 +52,10 @@
 
 void adaptive_limit::setSlots(int slots)
 {
-    // A server that announces more slots gets them at once; the limit is lowered again if it cannot keep up.
+    // Newly announced slots are used at once; the limit is lowered again if the server is overloaded.
     m_limit += std::max(slots, 1) - m_slots;
     m_slots = std::max(slots, 1);
-    m_limit = std::clamp<double>(m_limit, std::min(m_settings.least, m_slots), m_slots);
+    m_limit = std::clamp<double>(m_limit, std::min(m_settings.minLimit, m_slots), m_slots);
 }
 
 int adaptive_limit::limit() const { return static_cast<int>(m_limit); }
@@ -69,14 +69,14 @@
 
 void adaptive_limit::evaluate(time_point now)
 {
-    const bool hasEnough = static_cast<int>(accumulators::count(m_latencies)) >= m_settings.leastCalls;
+    const bool hasEnough = static_cast<int>(accumulators::count(m_latencies)) >= m_settings.minCalls;
     if (now < m_intervalEnd || (!hasEnough && !m_shed))
         return;
     double factor = m_shed ? m_settings.decrease : 1;
     if (hasEnough)
         factor = std::min(factor, factorFor(fromSeconds(accumulators::extended_p_square(m_latencies)[0])));
     m_limit = factor < 1 ? m_limit * factor : m_limit + m_settings.increase;
-    m_limit = std::clamp<double>(m_limit, std::min(m_settings.least, m_slots), m_slots);
+    m_limit = std::clamp<double>(m_limit, std::min(m_settings.minLimit, m_slots), m_slots);
     startInterval(now);
 }
 
@@ -86,8 +86,7 @@
         m_baseline = median;
         return 1;
     }
-    const auto allowed
-        = std::max(fromSeconds(inSeconds(*m_baseline) * m_settings.tolerance), *m_baseline + leastGrowth);
+    const auto allowed = std::max(fromSeconds(inSeconds(*m_baseline) * m_settings.tolerance), *m_baseline + minGrowth);
     m_baseline = fromSeconds(inSeconds(*m_baseline) * baselineDrift);
     if (median <= allowed)
         return 1;
--- a/src/admission/internal/admission_queue.cpp
+++ b/src/admission/internal/admission_queue.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-    // Long enough to average over many short calls, short enough to follow a swing within a second.
+    // Long enough to average over many short calls, short enough to follow a change of load within a second.
     constexpr duration demandWindow = 1s;
     constexpr duration serviceTimeWindow = 2s;
-    // The reserve shrinks as the measured demand fades, which frees slots for long calls without any event.
+    // The reserve shrinks as the measured demand decays, which frees slots for long calls without any other event.
     constexpr duration reserveCheckInterval = 100ms;
 
     std::size_t indexOf(call_length length) { return static_cast<std::size_t>(length); }
 
-    time_point lastStart(const admission_request& request) { return request.deadline - request.needed; }
+    time_point latestStart(const admission_request& request) { return request.deadline - request.needed; }
 
 } // namespace
 
@@ -48,19 +48,20 @@
     auto reason = reasonToRefuse(request, now);
     const bool startsAtOnce = !reason && canStartAtOnce(request.level, now);
     if (!reason && !startsAtOnce && !makeRoom(request, actions))
-        reason = notRun(error_code::overloaded, "the queue is full");
+        reason = notRun(error_code::overloaded, "the admission queue is full");
     if (reason) {
         actions.push_back({ request.id, admission_step::refuse, std::move(reason) });
         return actions;
     }
     m_admitted.add(request.level, request.expected, now);
     if (startsAtOnce) {
-        m_fairness.startAtOnce(request.level.length, request.customer);
+        m_fairness.startAtOnce(request.level.length, request.workspace);
         run(request, actions, now);
         return actions;
     }
-    m_fairness.addWaiting(request.level, request.customer);
-    m_waiting->insert({ request, now, std::min(lastStart(request), now + boundsFor(request.level.length).mostStay) });
+    m_fairness.addWaiting(request.level, request.workspace);
+    m_waiting->insert(
+        { request, now, std::min(latestStart(request), now + boundsFor(request.level.length).maxTimeInQueue) });
     return actions;
 }
 
@@ -71,8 +72,8 @@
     if (const auto found = m_running.find(id); found != m_running.end()) {
         const auto& call = found->second;
         const duration used = now - call.startedAt;
-        m_fairness.finish(call.level, call.customer, call.countedAs, call.expected, used);
-        // A call that outlasted the limit used a slot of the long calls from then on.
+        m_fairness.finish(call.level, call.workspace, call.countedAs, call.expected, used);
+        // From shortLimit on, the call was counted as long and used a slot of the long calls.
         const bool isShort = call.level.length == call_length::short_call;
         m_serviceTimes[indexOf(call.level.length)].add(
             inSeconds(isShort ? std::min(used, m_settings.shortLimit) : used), now);
@@ -86,9 +87,9 @@
 
 bool admission_queue::cancel(std::uint64_t id)
 {
-    const auto call = m_waiting->take(id);
+    const auto call = m_waiting->remove(id);
     if (call)
-        m_fairness.removeWaiting(call->request.level, call->request.customer);
+        m_fairness.removeWaiting(call->request.level, call->request.workspace);
     return call.has_value();
 }
 
@@ -108,8 +109,8 @@
 time_point admission_queue::nextEvent(time_point now) const
 {
     time_point next = time_point::max();
-    if (const auto* call = m_waiting->nextToLeave())
-        next = call->leaveBy + duration(1);
+    if (const auto* call = m_waiting->nextToExpire())
+        next = call->expiresAt + duration(1);
     if (!m_shortEnds.empty())
         next = std::min(next, m_shortEnds.begin()->first);
     if (waiting(call_length::long_call) > 0 && static_cast<int>(m_running.size()) < m_settings.slots)
@@ -119,8 +120,8 @@
 
 int admission_queue::longLimit(time_point now) const
 {
-    // The admitted demand counts, not the offered one: the offered demand of a swing exceeds the slots many times, and
-    // its average would keep the reserve high for seconds after the swing.
+    // Uses the admitted demand instead of the offered one: during a load peak the offered demand exceeds the slots many
+    // times, and its average would keep the reserve high for seconds after the peak.
     const int reserved = m_hooks.reservedSlots(m_settings.slots, m_admitted.demand(call_length::short_call, now));
     return std::max(m_settings.slots - reserved, 1);
 }
@@ -145,21 +146,22 @@
         auto& call = m_running.at(m_shortEnds.begin()->second);
         call.countedAs = call_length::long_call;
         ++m_runningLong;
-        m_fairness.moveToLong(call.customer);
+        m_fairness.reclassifyAsLong(call.workspace);
         const auto id = m_shortEnds.begin()->second;
         m_shortEnds.erase(m_shortEnds.begin());
-        if (m_hooks.countedAsLong)
-            m_hooks.countedAsLong(id, now);
+        if (m_hooks.onCountedAsLong)
+            m_hooks.onCountedAsLong(id, now);
     }
 }
 
 void admission_queue::expireWaiting(admission_actions& actions, time_point now)
 {
-    for (const auto* next = m_waiting->nextToLeave(); next && next->leaveBy < now; next = m_waiting->nextToLeave()) {
+    for (const auto* next = m_waiting->nextToExpire(); next && next->expiresAt < now;
+         next = m_waiting->nextToExpire()) {
         const auto id = next->id();
-        auto reason = lastStart(next->request) < now
+        auto reason = latestStart(next->request) < now
             ? notRun(error_code::deadline_exceeded, "the call can no longer finish by its deadline")
-            : notRun(error_code::overloaded, "the call waited too long for a slot");
+            : notRun(error_code::overloaded, "the call exceeded the maximum time in the admission queue");
         cancel(id);
         actions.push_back({ id, admission_step::expire, std::move(reason) });
     }
@@ -170,8 +172,8 @@
     for (auto length = nextClass(now); length; length = nextClass(now)) {
         const auto level = *m_waiting->highest(*length);
         const auto* first = m_waiting->first(level, *m_fairness.next(level));
-        const auto call = m_waiting->take(first->id());
-        m_fairness.startWaiting(level, call->request.customer, call->request.expected);
+        const auto call = m_waiting->remove(first->id());
+        m_fairness.startWaiting(level, call->request.workspace, call->request.expected);
         run(call->request, actions, now);
     }
 }
@@ -212,10 +214,10 @@
         return notRun(error_code::deadline_exceeded, "the call cannot finish by its deadline");
     }
     const auto wait = m_hooks.expectedWait(factorsFor(request, now));
-    if (now + wait > lastStart(request))
+    if (now + wait > latestStart(request))
         return notRun(error_code::deadline_exceeded, "the call cannot finish by its deadline after the expected wait");
-    if (wait > boundsFor(request.level.length).mostWait)
-        return notRun(error_code::overloaded, "the expected wait is too long");
+    if (wait > boundsFor(request.level.length).maxExpectedWait)
+        return notRun(error_code::overloaded, "the expected wait in the admission queue exceeds the limit");
     return std::nullopt;
 }
 
@@ -229,8 +231,8 @@
             .demandAbove = m_admitted.demandAbove(request.level, now),
             .serviceTime = serviceTime };
     }
-    // The demand of long calls would have to be averaged over many seconds and would refuse calls for as long after a
-    // swing, hence only the calls that wait already count.
+    // The demand of long calls would have to be averaged over many seconds and would cause refusals for as long after a
+    // load peak, so only the calls already waiting are counted.
     const double left = m_settings.slots - m_admitted.demand(call_length::short_call, now);
     return { .ahead = countAhead(request),
         .slots = std::max(std::min<double>(longLimit(now), left), 1.0),
@@ -238,41 +240,43 @@
         .serviceTime = serviceTime };
 }
 
-// Customers take turns: before the customer's call number n runs, each other customer starts at most n calls.
+// Round robin among workspaces: before call number n of this workspace starts, each other workspace starts at most n
+// calls.
 std::size_t admission_queue::countAhead(const admission_request& request) const
 {
     const auto level = request.level;
-    const auto own = m_fairness.waiting(level, request.customer);
-    const auto before = m_waiting->countBefore(level, request.customer, request.deadline);
-    const auto otherCustomers = m_fairness.customers(level) - (own > 0 ? 1 : 0);
+    const auto own = m_fairness.waiting(level, request.workspace);
+    const auto before = m_waiting->countBefore(level, request.workspace, request.deadline);
+    const auto otherWorkspaces = m_fairness.workspaces(level) - (own > 0 ? 1 : 0);
     const auto otherCalls = m_waiting->count(level) - own;
-    return m_waiting->countAbove(level) + before + std::min(otherCalls, (before + 1) * otherCustomers);
+    return m_waiting->countAbove(level) + before + std::min(otherCalls, (before + 1) * otherWorkspaces);
 }
 
-// A full queue gives up the call with the lowest priority and, within it, the latest deadline of the customer that has
-// the most waiting calls; the new call takes its place unless it would be that call itself.
+// Evicts from a full queue the call with the lowest priority and, within that priority, the latest deadline of the
+// workspace that has the most waiting calls, unless the new call itself would be evicted.
 bool admission_queue::makeRoom(const admission_request& request, admission_actions& actions)
 {
     const auto length = request.level.length;
-    if (m_waiting->count(length) < boundsFor(length).mostCalls)
+    if (m_waiting->count(length) < boundsFor(length).maxCalls)
         return true;
     const auto lowest = m_waiting->lowest(length);
     if (!lowest || lowest->priority > request.level.priority)
         return false;
-    const std::string customer = *m_fairness.longest(*lowest);
+    const std::string workspace = *m_fairness.longestQueue(*lowest);
     const bool samePriority = lowest->priority == request.level.priority;
-    if (samePriority && m_fairness.waiting(*lowest, request.customer) + 1 >= m_fairness.waiting(*lowest, customer))
+    if (samePriority && m_fairness.waiting(*lowest, request.workspace) + 1 >= m_fairness.waiting(*lowest, workspace))
         return false;
-    const auto id = m_waiting->last(*lowest, customer)->id();
+    const auto id = m_waiting->last(*lowest, workspace)->id();
     cancel(id);
-    actions.push_back({ id, admission_step::refuse, notRun(error_code::overloaded, "displaced from a full queue") });
+    actions.push_back({ id, admission_step::refuse,
+        notRun(error_code::overloaded, "evicted from the full admission queue in favour of another call") });
     return true;
 }
 
 void admission_queue::run(const admission_request& request, admission_actions& actions, time_point now)
 {
     const auto length = request.level.length;
-    m_running[request.id] = { request.level, request.customer, request.expected, now, length };
+    m_running[request.id] = { request.level, request.workspace, request.expected, now, length };
     if (length == call_length::long_call)
         ++m_runningLong;
     else
--- a/src/admission/internal/backend_admission.cpp
+++ b/src/admission/internal/backend_admission.cpp
@@ -13,9 +13,9 @@
         return queue;
     }
 
-    // A call that waited starts early enough to finish with 99% probability: with a later start, an overloaded queue
-    // ordered by deadline runs every call at the last moment, and those that are late waste their slots. For kinds
-    // whose p99 takes most of the time that the caller gives, half of that time is left for waiting.
+    // A queued call must start early enough to finish with 99% probability: with a later start, an overloaded queue
+    // ordered by deadline starts every call at the last possible time, and calls that miss their deadline waste their
+    // slots. For kinds whose p99 takes more than half of the remaining time, half of that time is left for waiting.
     duration neededTime(const service_quantiles& estimate, duration remaining)
     {
         return std::max(estimate.mean, std::min(estimate.p99, remaining / 2));
@@ -28,7 +28,7 @@
     , m_hooks(std::move(hooks))
     , m_classifier(settings.classes)
     , m_estimate(settings.serviceTimes)
-    , m_quarantine(settings.crashes)
+    , m_quarantine(settings.quarantineSettings)
     , m_limit(settings.queue.slots, settings.adaptive)
     , m_queue(queueSettings(settings), queueHooks(std::move(m_hooks.queue)))
 {
@@ -52,13 +52,13 @@
         addSuspect(call, actions);
         break;
     case quarantine_decision::run_isolated:
-        enter(call, true, actions, now);
+        submitToQueue(call, true, actions, now);
         break;
     case quarantine_decision::run:
-        enter(call, false, actions, now);
+        submitToQueue(call, false, actions, now);
         break;
     }
-    return settle(std::move(actions), now);
+    return applyPendingChanges(std::move(actions), now);
 }
 
 admission_actions backend_admission::finish(std::uint64_t id, admission_end end, time_point now)
@@ -69,8 +69,8 @@
     observe(found->second, end, now);
     auto actions = m_queue.finish(id, now);
     release(id, end == admission_end::answered, now);
-    note(actions, now);
-    return settle(std::move(actions), now);
+    recordActions(actions, now);
+    return applyPendingChanges(std::move(actions), now);
 }
 
 bool backend_admission::cancel(std::uint64_t id, time_point now)
@@ -86,8 +86,8 @@
 admission_actions backend_admission::advance(time_point now)
 {
     auto actions = m_queue.advance(now);
-    note(actions, now);
-    return settle(std::move(actions), now);
+    recordActions(actions, now);
+    return applyPendingChanges(std::move(actions), now);
 }
 
 time_point backend_admission::nextEvent(time_point now) const
@@ -95,7 +95,7 @@
     auto next = m_queue.nextEvent(now);
     if (m_suspects.empty())
         return next;
-    // A time that has passed means that they wait for a run of the same content to end, which is an event by itself.
+    // If the time has passed, the suspects wait for a running request with the same content, whose end triggers them.
     if (m_quarantine.nextIsolationAt() > now)
         next = std::min(next, m_quarantine.nextIsolationAt());
     for (const auto& call : m_suspects)
@@ -107,8 +107,8 @@
 {
     m_limit.setSlots(slots);
     auto actions = m_queue.setSlots(m_settings.adaptsLimit ? m_limit.limit() : slots, now);
-    note(actions, now);
-    return settle(std::move(actions), now);
+    recordActions(actions, now);
+    return applyPendingChanges(std::move(actions), now);
 }
 
 std::vector<crash_strike> backend_admission::crashed(std::string_view crashId, time_point now)
@@ -118,12 +118,12 @@
         if (call.isRunning)
             inFlight.push_back(call.fingerprint);
     }
-    return m_quarantine.crashed(crashId, inFlight, now);
+    return m_quarantine.recordCrash(crashId, inFlight, now);
 }
 
 admission_hooks backend_admission::queueHooks(admission_hooks hooks)
 {
-    hooks.countedAsLong = [this, next = std::move(hooks.countedAsLong)](std::uint64_t id, time_point now) {
+    hooks.onCountedAsLong = [this, next = std::move(hooks.onCountedAsLong)](std::uint64_t id, time_point now) {
         if (const auto found = m_calls.find(id); found != m_calls.end())
             observeClass(found->second, m_settings.classes.shortLimit, now);
         if (next)
@@ -132,7 +132,8 @@
     return hooks;
 }
 
-void backend_admission::enter(const admission_call& call, bool isIsolated, admission_actions& actions, time_point now)
+void backend_admission::submitToQueue(
+    const admission_call& call, bool isIsolated, admission_actions& actions, time_point now)
 {
     const auto length = m_hooks.classify(call.kind, call.configured);
     const auto estimate = m_hooks.estimate(call.kind, length, now);
@@ -144,13 +145,13 @@
     const admission_request request { call.id, { length, std::clamp(call.priority, 0, priorityCount - 1) },
         call.customer, call.deadline, estimate.mean, neededTime(estimate, call.deadline - now) };
     const auto steps = m_queue.submit(request, now);
-    note(steps, now);
+    recordActions(steps, now);
     actions.insert(actions.end(), steps.begin(), steps.end());
 }
 
 void backend_admission::addSuspect(const admission_call& call, admission_actions& actions)
 {
-    if (m_suspects.size() < m_settings.mostWaitingSuspects) {
+    if (m_suspects.size() < m_settings.maxWaitingSuspects) {
         m_suspects.push_back(call);
         return;
     }
@@ -158,7 +159,7 @@
         notRun(error_code::overloaded, "too many requests wait for an isolated run after a crash") });
 }
 
-// One pass in order of arrival; a call whose fingerprint was cleared meanwhile runs as usual.
+// One pass in order of arrival; calls whose fingerprint was cleared in the meantime are queued normally.
 void backend_admission::startSuspects(admission_actions& actions, time_point now)
 {
     for (auto next = m_suspects.begin(); next != m_suspects.end();) {
@@ -172,7 +173,7 @@
         if (decision == quarantine_decision::refuse)
             actions.push_back({ call.id, admission_step::refuse, m_quarantine.refusal() });
         else
-            enter(call, decision == quarantine_decision::run_isolated, actions, now);
+            submitToQueue(call, decision == quarantine_decision::run_isolated, actions, now);
     }
 }
 
@@ -187,7 +188,7 @@
     });
 }
 
-void backend_admission::note(const admission_actions& actions, time_point now)
+void backend_admission::recordActions(const admission_actions& actions, time_point now)
 {
     for (const auto& action : actions) {
         if (action.step != admission_step::run) {
@@ -206,7 +207,7 @@
     if (found == m_calls.end())
         return;
     if (found->second.isIsolated)
-        m_quarantine.finished(found->second.fingerprint, answered, now);
+        m_quarantine.finishIsolatedRun(found->second.fingerprint, answered, now);
     m_calls.erase(found);
 }
 
@@ -233,8 +234,8 @@
     m_classifier.observe(call.kind, call.configured, used, now);
 }
 
-// Applies what an event changed besides the queue: a suspect that may start, and the adaptive limit.
-admission_actions backend_admission::settle(admission_actions actions, time_point now)
+// Applies changes that follow from an event outside the queue: suspects that may start, and the adaptive limit.
+admission_actions backend_admission::applyPendingChanges(admission_actions actions, time_point now)
 {
     if (!m_suspects.empty()) {
         expireSuspects(actions, now);
@@ -242,7 +243,7 @@
     }
     if (m_settings.adaptsLimit && m_limit.limit() != m_queue.slots()) {
         const auto steps = m_queue.setSlots(m_limit.limit(), now);
-        note(steps, now);
+        recordActions(steps, now);
         actions.insert(actions.end(), steps.begin(), steps.end());
     }
     return actions;
--- a/src/admission/internal/connection_plan.cpp
+++ b/src/admission/internal/connection_plan.cpp
@@ -10,11 +10,11 @@
 {
     connection_counts wanted { slots + settings.spare, longSlots + settings.spare };
     const int total = wanted.forShort + wanted.forLong;
-    if (total <= settings.most)
+    if (total <= settings.maxConnections)
         return wanted;
-    // Below the limit each class gives in proportion; one connection each is the least that separates the classes.
-    wanted.forLong = std::max(1, settings.most * wanted.forLong / total);
-    wanted.forShort = std::max(1, settings.most - wanted.forLong);
+    // Scales both classes down in proportion; each class needs at least one connection to be separate from the other.
+    wanted.forLong = std::max(1, settings.maxConnections * wanted.forLong / total);
+    wanted.forShort = std::max(1, settings.maxConnections - wanted.forLong);
     return wanted;
 }
 
@@ -26,20 +26,20 @@
 {
 }
 
-// The rate is kept by one stored time: each opened connection moves it on by the mean interval. It may lag behind by as
-// many intervals as connections may be opened at once, which allows a short burst but no storm.
-connection_counts connection_plan::due(connection_counts open, connection_counts opening, time_point now)
+// Rate limit in the manner of a token bucket with one stored time: each opened connection advances it by the mean
+// interval. It may lag behind by as many intervals as connections may be opened at once, which bounds the burst.
+connection_counts connection_plan::connectionsToOpen(connection_counts open, connection_counts opening, time_point now)
 {
     connection_counts result;
     if (now < m_backoffUntil)
         return result;
     const auto interval = fromSeconds(1 / m_settings.opensPerSecond);
-    m_nextAt = std::max(m_nextAt, now - interval * (m_settings.mostOpening - 1));
-    // After a failure one connection at a time probes whether the server is back.
-    const int mostOpening = m_failures > 0 ? 1 : m_settings.mostOpening;
+    m_nextAt = std::max(m_nextAt, now - interval * (m_settings.maxOpening - 1));
+    // After a failure, one connection at a time probes whether the server is reachable again.
+    const int maxOpening = m_failures > 0 ? 1 : m_settings.maxOpening;
     int inProgress = opening.forShort + opening.forLong;
     int total = open.forShort + open.forLong + inProgress;
-    while (m_nextAt <= now && inProgress < mostOpening && total < m_settings.most) {
+    while (m_nextAt <= now && inProgress < maxOpening && total < m_settings.maxConnections) {
         const int missingShort = m_targets.forShort - open.forShort - opening.forShort - result.forShort;
         const int missingLong = m_targets.forLong - open.forLong - opening.forLong - result.forLong;
         if (missingShort <= 0 && missingLong <= 0)
@@ -54,7 +54,7 @@
 
 void connection_plan::onOpened() { m_failures = 0; }
 
-// Half of the window is fixed, so that attempts stay apart; the other half is jitter.
+// Half of the window is fixed, which guarantees a minimum delay between attempts; the other half is jitter.
 void connection_plan::onFailed(time_point now)
 {
     // Connections that were being opened at the same time fail together and count once.
--- a/src/admission/internal/expected_wait.cpp
+++ b/src/admission/internal/expected_wait.cpp
@@ -12,8 +12,8 @@
 duration expectedWait(const wait_factors& factors)
 {
     // The remaining share is bounded below because the measured demand fluctuates around the number of slots.
-    constexpr double leastRemainingShare = 0.05;
-    const double remaining = std::max(factors.slots - factors.demandAbove, factors.slots * leastRemainingShare);
+    constexpr double minRemainingShare = 0.05;
+    const double remaining = std::max(factors.slots - factors.demandAbove, factors.slots * minRemainingShare);
     const double work = static_cast<double>(factors.ahead + 1) * inSeconds(factors.serviceTime);
     return fromSeconds(work / remaining);
 }
--- a/src/admission/internal/load_view.cpp
+++ b/src/admission/internal/load_view.cpp
@@ -9,20 +9,20 @@
 
 namespace {
 
-    // Latency assumed while no server was observed; only relative costs matter.
+    // Latency assumed before any server was observed; only relative costs matter.
     constexpr double priorLatency = 0.005;
-    // Own calls that make own observation count against a report.
+    // Number of local calls from which local observation overrides a report.
     constexpr double contradictingCalls = 3;
-    // Cost factor of a server that refuses every call. A refusal is cheap, but a retry elsewhere follows.
+    // Added to the cost factor of a server that refuses every call. A refusal is fast but causes a retry elsewhere.
     constexpr double refusalPenalty = 4;
     // A server that fails every call costs ten times its latency until it is ejected.
-    constexpr double mostFailureShare = 0.9;
-    // Costs within this factor count as equal, or an idle pool would send all calls to the server that is faster by a
-    // hair.
+    constexpr double maxFailureShare = 0.9;
+    // Costs within this factor count as equal; otherwise an idle pool would send all calls to the server with the
+    // slightly lowest latency.
     constexpr double equalCosts = 1.1;
-    constexpr int mostDraws = 16;
+    constexpr int maxDraws = 16;
 
-    double failurePenalty(double share) { return 1 / (1 - std::min(share, mostFailureShare)); }
+    double failurePenalty(double share) { return 1 / (1 - std::min(share, maxFailureShare)); }
 
     bool isExcluded(const pick_options& options, const instance_id& id)
     {
@@ -71,20 +71,21 @@
     countUnhealthyReports();
 }
 
-// Two candidates and the better one of them: the longest queue stays exponentially shorter than with one random choice,
-// and unlike with the best of all, nodes that share old observations do not all pick the same server (Mitzenmacher,
-// "The Power of Two Choices in Randomized Load Balancing", IEEE TPDS 12, 2001).
+// Picks the better one of two random candidates: the longest queue stays exponentially shorter than with one random
+// choice, and unlike with the best of all, nodes that share old observations do not all pick the same server
+// (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", IEEE TPDS 12, 2001).
 std::optional<instance_id> load_view::pick(const pick_options& options, time_point now)
 {
     if (auto probe = dueProbe(options, now))
         return probe;
-    // The first candidate is from the own zone if there is one; the other one keeps the zone from being overloaded.
+    // The first candidate is from the local zone if possible; the second one, from any zone, prevents overload of the
+    // local zone.
     auto first = draw(m_sameZone, options, std::nullopt, now);
     const double zoneTolerance = first ? m_settings.zoneTolerance : equalCosts;
     if (!first)
         first = draw(m_all, options, std::nullopt, now);
     if (!first)
-        return lastResort(options, now);
+        return fallbackServer(options, now);
     const auto second = draw(m_all, options, first, now);
     if (!second)
         return m_servers[*first].id;
@@ -157,11 +158,11 @@
         && !isReportedUnhealthy(one, now);
 }
 
-// Own observation counts above a report. If half of the servers say that they are unhealthy, the reports are more
-// likely wrong than the servers.
+// Local observation overrides a report. If half of the servers report that they are unhealthy, the reports are more
+// likely wrong than the servers are unhealthy.
 bool load_view::isReportedUnhealthy(const server& one, time_point now) const
 {
-    if (!one.lastReport || one.lastReport->isHealthy || now - one.lastReport->at > m_settings.mostReportAge)
+    if (!one.lastReport || one.lastReport->isHealthy || now - one.lastReport->at > m_settings.maxReportAge)
         return false;
     if (2 * m_unhealthyReports >= m_servers.size())
         return false;
@@ -171,20 +172,20 @@
 
 double load_view::reportedLoad(const server& one, time_point now) const
 {
-    if (!one.lastReport || now - one.lastReport->at > m_settings.mostReportAge)
+    if (!one.lastReport || now - one.lastReport->at > m_settings.maxReportAge)
         return 0;
     const double load = std::clamp(one.lastReport->load, 0.0, 1.0);
     const bool refuses = one.refusals.value(0, now) > 0.1;
     if (refuses)
-        return 1; // Whatever load it reports.
+        return 1; // Ignores the reported load.
     const double poolLatency = m_poolLatency.value(priorLatency, now);
     const bool isFast
         = one.latency.weight(now) >= contradictingCalls && one.latency.value(poolLatency, now) <= poolLatency;
     return isFast ? 0 : load;
 }
 
-// Draws at random, each server in proportion to its slow start, so that a cold one is found less often. A full scan
-// from a random position follows only if most draws hit servers that cannot be used.
+// Random choice, weighted by the slow start share, so that a cold server is drawn less often. If no draw hits an
+// eligible server, all servers are scanned from a random position.
 std::optional<load_view::position> load_view::draw(
     const std::vector<position>& from, const pick_options& options, std::optional<position> except, time_point now)
 {
@@ -192,7 +193,7 @@
         return std::nullopt;
     const auto random = [&] { return static_cast<std::size_t>(m_random() * static_cast<double>(from.size())); };
     const auto isUsable = [&](position one) { return one != except && isEligible(m_servers[one], options, now); };
-    for (int count = 0; count < mostDraws; ++count) {
+    for (int count = 0; count < maxDraws; ++count) {
         const auto drawn = from[random()];
         if (m_random() < m_servers[drawn].warmUp.share(now) && isUsable(drawn))
             return drawn;
@@ -206,8 +207,8 @@
     return std::nullopt;
 }
 
-// A server that only says that it is unhealthy is better than none.
-std::optional<instance_id> load_view::lastResort(const pick_options& options, time_point now) const
+// A server that is only reported as unhealthy is better than none.
+std::optional<instance_id> load_view::fallbackServer(const pick_options& options, time_point now) const
 {
     const auto found = std::ranges::find_if(m_servers, [&](const server& one) {
         return !isExcluded(options, one.id) && condition(one.id, now) == server_condition::in_service;
--- a/src/admission/internal/outlier_detector.cpp
+++ b/src/admission/internal/outlier_detector.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    // A probe whose end is never reported must not keep the server out for ever.
+    // A probe whose result is never reported must not keep the server out of service for ever.
     constexpr duration probeTimeout = std::chrono::seconds(10);
 
 } // namespace
@@ -29,7 +29,7 @@
     const auto found = m_servers.find(id);
     if (found == m_servers.end())
         return;
-    m_outOfService -= found->second.isOut;
+    m_outOfService -= found->second.isOutOfService;
     m_servers.erase(found);
 }
 
@@ -39,7 +39,7 @@
     if (found == m_servers.end())
         return false;
     auto& server = found->second;
-    if (!server.isOut) {
+    if (!server.isOutOfService) {
         server.failures.add(0, now);
         server.failuresInRow = 0;
         return false;
@@ -49,7 +49,7 @@
     server.nextProbeAt = now + m_settings.probeInterval;
     if (++server.probesPassed < m_settings.probes)
         return false;
-    server.isOut = false;
+    server.isOutOfService = false;
     server.changedAt = now;
     server.failuresInRow = 0;
     server.failures = decaying_average(m_settings.window);
@@ -63,8 +63,8 @@
     if (found == m_servers.end())
         return false;
     auto& server = found->second;
-    if (server.isOut) {
-        // A failed probe ejects again, for twice the time.
+    if (server.isOutOfService) {
+        // A failed probe ejects the server again, for twice the time.
         if (now >= server.ejectedUntil)
             eject(server, now);
         return false;
@@ -73,11 +73,11 @@
     ++server.failuresInRow;
     if (!isOutlier(server, now) || !mayEjectOneMore())
         return false;
-    // Only time in service without ejection clears the count, so that a server that fails again after each re-admission
-    // stays out longer each time.
-    if (now - server.changedAt >= m_settings.forgetAfter)
+    // Only time in service without ejection resets the count, so that a server that fails again after each return to
+    // service is ejected for longer each time.
+    if (now - server.changedAt >= m_settings.ejectionResetAfter)
         server.ejections = 0;
-    server.isOut = true;
+    server.isOutOfService = true;
     ++m_outOfService;
     eject(server, now);
     return true;
@@ -86,7 +86,7 @@
 server_condition outlier_detector::condition(const instance_id& id, time_point now) const
 {
     const auto found = m_servers.find(id);
-    if (found == m_servers.end() || !found->second.isOut)
+    if (found == m_servers.end() || !found->second.isOutOfService)
         return server_condition::in_service;
     return now < found->second.ejectedUntil ? server_condition::ejected : server_condition::probing;
 }
@@ -94,7 +94,7 @@
 bool outlier_detector::isProbeDue(const instance_id& id, time_point now) const
 {
     const auto found = m_servers.find(id);
-    return found != m_servers.end() && found->second.isOut && now >= found->second.nextProbeAt;
+    return found != m_servers.end() && found->second.isOutOfService && now >= found->second.nextProbeAt;
 }
 
 void outlier_detector::startProbe(const instance_id& id, time_point now)
@@ -107,16 +107,16 @@
 {
     if (server.failuresInRow >= m_settings.consecutiveFailures)
         return true;
-    // With the threshold itself as the prior value, the average reaches it exactly when the plain share does.
-    return server.failures.weight(now) >= m_settings.leastCalls
+    // With the threshold as the prior value, the average reaches it exactly when the share without prior does.
+    return server.failures.weight(now) >= m_settings.minCalls
         && server.failures.value(m_settings.failureShare, now) >= m_settings.failureShare;
 }
 
-// When most servers fail, the cause is probably elsewhere, and the load of the ejected ones would overload the rest.
+// When most servers fail, the cause is probably elsewhere, and the load of the ejected ones would overload the others.
 bool outlier_detector::mayEjectOneMore() const
 {
     const auto count = m_servers.size();
-    const auto share = static_cast<std::size_t>(std::floor(m_settings.mostEjectedShare * static_cast<double>(count)));
+    const auto share = static_cast<std::size_t>(std::floor(m_settings.maxEjectedShare * static_cast<double>(count)));
     return m_outOfService < std::max<std::size_t>(share, count >= 2 ? 1 : 0);
 }
 
--- a/src/admission/internal/quarantine.cpp
+++ b/src/admission/internal/quarantine.cpp
@@ -8,8 +8,8 @@
 
 quarantine::quarantine(const quarantine_settings& settings)
     : m_settings(settings)
-    , m_records(settings.mostFingerprints)
-    , m_known(settings.mostStrikes)
+    , m_records(settings.maxFingerprints)
+    , m_appliedIds(settings.maxAttributions)
 {
 }
 
@@ -17,14 +17,14 @@
 {
     if (isRefused(fingerprint, now))
         return quarantine_decision::refuse;
-    if (suspicion(fingerprint, now) < m_settings.leastSuspicion)
+    if (suspicion(fingerprint, now) < m_settings.minSuspicion)
         return quarantine_decision::run;
-    // The same content may be sent many times at once; one run of it is enough to clear all of them.
+    // The same content may be sent many times concurrently; one run clears all copies.
     const bool isTaken = !m_isolated.empty() && now < m_isolatedUntil;
     if (isTaken || m_isolated.contains(fingerprint))
         return quarantine_decision::wait;
     m_isolated.insert(fingerprint);
-    m_isolatedUntil = now + m_settings.isolation;
+    m_isolatedUntil = now + m_settings.isolationPeriod;
     return quarantine_decision::run_isolated;
 }
 
@@ -33,11 +33,11 @@
     return notRun(error_code::quarantined, "requests with this content crashed backend servers");
 }
 
-void quarantine::finished(request_fingerprint fingerprint, bool answered, time_point now)
+void quarantine::finishIsolatedRun(request_fingerprint fingerprint, bool answered, time_point now)
 {
     if (m_isolated.erase(fingerprint) == 0)
         return;
-    // The ids of its strikes stay known, so that a late copy of an old strike does not bring the suspicion back.
+    // The ids of its attributions are kept, so that a late duplicate does not restore the suspicion.
     if (answered && !isRefused(fingerprint, now))
         m_records.erase(fingerprint);
 }
@@ -45,33 +45,34 @@
 time_point quarantine::nextIsolationAt() const { return m_isolated.empty() ? time_point::min() : m_isolatedUntil; }
 
 // If suspects were in flight, one of them is the likely cause; the others in flight still get the weight of a first
-// crash, in case that a new cause ran beside an innocent suspect. Copies of one content count once.
-std::vector<crash_strike> quarantine::crashed(
+// crash, in case the actual cause ran concurrently with an innocent suspect. Requests with the same content count once.
+std::vector<crash_strike> quarantine::recordCrash(
     std::string_view crashId, const std::vector<request_fingerprint>& inFlight, time_point now)
 {
     const std::set<request_fingerprint> distinct(inFlight.begin(), inFlight.end());
     const auto suspects = static_cast<double>(
         std::ranges::count_if(distinct, [&](request_fingerprint one) { return m_isolated.contains(one); }));
-    // With very many in flight each one still becomes a suspect, or none would ever be isolated.
+    // Lower bound: with very many requests in flight each one still becomes a suspect, or none would ever be isolated.
     const double otherWeight
-        = std::max(m_settings.aloneWeight / static_cast<double>(distinct.size()), 2 * m_settings.leastSuspicion);
-    std::vector<crash_strike> strikes;
+        = std::max(m_settings.crashWeight / static_cast<double>(distinct.size()), 2 * m_settings.minSuspicion);
+    std::vector<crash_strike> attributions;
     for (const auto fingerprint : distinct) {
-        const double weight = m_isolated.contains(fingerprint) ? m_settings.isolatedWeight / suspects : otherWeight;
-        strikes.push_back({ hashBytes(crashId, fingerprint), fingerprint, weight, now });
+        const double weight
+            = m_isolated.contains(fingerprint) ? m_settings.isolatedCrashWeight / suspects : otherWeight;
+        attributions.push_back({ hashBytes(crashId, fingerprint), fingerprint, weight, now });
     }
     m_isolated.clear();
-    merge(strikes);
-    return strikes;
+    merge(attributions);
+    return attributions;
 }
 
-void quarantine::merge(const std::vector<crash_strike>& strikes)
+void quarantine::merge(const std::vector<crash_strike>& attributions)
 {
-    for (const auto& strike : strikes) {
-        if (m_known.find(strike.id))
+    for (const auto& attribution : attributions) {
+        if (m_appliedIds.find(attribution.id))
             continue;
-        m_known.use(strike.id);
-        apply(strike);
+        m_appliedIds.getOrInsert(attribution.id);
+        apply(attribution);
     }
 }
 
@@ -87,12 +88,12 @@
     return found && now < found->refusedUntil;
 }
 
-void quarantine::apply(const crash_strike& strike)
+void quarantine::apply(const crash_strike& attribution)
 {
-    auto& record = m_records.use(strike.fingerprint, decaying_sum(m_settings.memory));
-    record.weight.add(strike.weight, strike.at);
-    if (record.weight.value(strike.at) >= m_settings.limit)
-        record.refusedUntil = std::max(record.refusedUntil, strike.at + m_settings.refusal);
+    auto& record = m_records.getOrInsert(attribution.fingerprint, decaying_sum(m_settings.decayTimeConstant));
+    record.weight.add(attribution.weight, attribution.at);
+    if (record.weight.value(attribution.at) >= m_settings.refusalThreshold)
+        record.refusedUntil = std::max(record.refusedUntil, attribution.at + m_settings.refusalPeriod);
 }
 
 } // namespace heatherdrift
--- a/src/admission/internal/request_classifier.cpp
+++ b/src/admission/internal/request_classifier.cpp
@@ -4,7 +4,7 @@
 
 request_classifier::request_classifier(const classifier_settings& settings)
     : m_settings(settings)
-    , m_kinds(settings.mostKinds)
+    , m_kinds(settings.maxKinds)
 {
 }
 
@@ -19,20 +19,21 @@
 // calls long at once, does not change any class.
 void request_classifier::observe(const work_kind& kind, call_length configured, duration used, time_point now)
 {
-    auto& state = m_kinds.use(kind, initialState(configured));
+    auto& state = m_kinds.getOrInsert(kind, initialState(configured));
     if (state.configured != configured)
         state = initialState(configured);
     const bool isLong = state.current == call_length::long_call;
     const auto limit = isLong ? m_settings.shortLimit / 2 : m_settings.shortLimit;
     state.longShare += ((used >= limit ? 1 : 0) - state.longShare) / m_settings.window;
-    const bool contradicts = isLong ? state.longShare < m_settings.shortFrom : state.longShare >= m_settings.longFrom;
+    const bool contradicts
+        = isLong ? state.longShare < m_settings.shortThreshold : state.longShare >= m_settings.longThreshold;
     if (!contradicts) {
         state.contradictedSince.reset();
         return;
     }
     if (!state.contradictedSince)
         state.contradictedSince = now;
-    if (now - *state.contradictedSince < m_settings.confirmation)
+    if (now - *state.contradictedSince < m_settings.confirmationTime)
         return;
     state.current = isLong ? call_length::short_call : call_length::long_call;
     state.longShare = isLong ? 0 : 1;
--- a/src/admission/internal/retry_backoff.cpp
+++ b/src/admission/internal/retry_backoff.cpp
@@ -9,13 +9,13 @@
 
 duration backoffWindow(int failures, const backoff_settings& settings)
 {
-    const double doubled = inSeconds(settings.first) * std::exp2(std::max(failures, 1) - 1);
-    return std::min(settings.most, fromSeconds(doubled));
+    const double doubled = inSeconds(settings.initialWindow) * std::exp2(std::max(failures, 1) - 1);
+    return std::min(settings.maxWindow, fromSeconds(doubled));
 }
 
 // Full jitter, a delay drawn from the whole window, spreads the attempts best (Brooker, "Exponential Backoff And
-// Jitter", AWS Architecture Blog, 2015). The window ends at the last useful start, so that no attempt is given up for a
-// delay.
+// Jitter", AWS Architecture Blog, 2015). The window ends at the latest useful start, so that the delay never makes an
+// attempt impossible.
 std::optional<time_point> nextAttempt(int failures, time_point now, time_point deadline, duration needed,
     const random_function& random, const backoff_settings& settings)
 {
--- a/src/admission/internal/waiting_calls.cpp
+++ b/src/admission/internal/waiting_calls.cpp
@@ -7,22 +7,22 @@
 
 namespace {
 
-    constexpr std::size_t order = 1;
-    constexpr std::size_t leaving = 2;
+    constexpr std::size_t orderIndex = 1;
+    constexpr std::size_t expiryIndex = 2;
 
-    auto startOf(admission_level level, const std::string& customer)
+    auto startOf(admission_level level, const std::string& workspace)
     {
-        return std::tuple<std::size_t, const std::string&>(level.index(), customer);
+        return std::tuple<std::size_t, const std::string&>(level.index(), workspace);
     }
 
-    auto endOf(admission_level level, const std::string& customer, time_point deadline)
+    auto endOf(admission_level level, const std::string& workspace, time_point deadline)
     {
-        return std::tuple<std::size_t, const std::string&, time_point>(level.index(), customer, deadline);
+        return std::tuple<std::size_t, const std::string&, time_point>(level.index(), workspace, deadline);
     }
 
-    bool belongsTo(const waiting_call& call, admission_level level, const std::string& customer)
+    bool belongsTo(const waiting_call& call, admission_level level, const std::string& workspace)
     {
-        return call.request.level == level && call.request.customer == customer;
+        return call.request.level == level && call.request.workspace == workspace;
     }
 
 } // namespace
@@ -33,7 +33,7 @@
     m_calls.insert(std::move(call));
 }
 
-std::optional<waiting_call> waiting_calls::take(std::uint64_t id)
+std::optional<waiting_call> waiting_calls::remove(std::uint64_t id)
 {
     const auto found = m_calls.find(id);
     if (found == m_calls.end())
@@ -44,30 +44,31 @@
     return call;
 }
 
-const waiting_call* waiting_calls::first(admission_level level, const std::string& customer) const
+const waiting_call* waiting_calls::first(admission_level level, const std::string& workspace) const
 {
-    const auto& calls = m_calls.get<order>();
-    const auto found = calls.lower_bound(startOf(level, customer));
-    return found != calls.end() && belongsTo(*found, level, customer) ? &*found : nullptr;
+    const auto& calls = m_calls.get<orderIndex>();
+    const auto found = calls.lower_bound(startOf(level, workspace));
+    return found != calls.end() && belongsTo(*found, level, workspace) ? &*found : nullptr;
 }
 
-const waiting_call* waiting_calls::last(admission_level level, const std::string& customer) const
+const waiting_call* waiting_calls::last(admission_level level, const std::string& workspace) const
 {
-    const auto& calls = m_calls.get<order>();
-    auto found = calls.upper_bound(startOf(level, customer));
-    return found != calls.begin() && belongsTo(*--found, level, customer) ? &*found : nullptr;
+    const auto& calls = m_calls.get<orderIndex>();
+    auto found = calls.upper_bound(startOf(level, workspace));
+    return found != calls.begin() && belongsTo(*--found, level, workspace) ? &*found : nullptr;
 }
 
-const waiting_call* waiting_calls::nextToLeave() const
+const waiting_call* waiting_calls::nextToExpire() const
 {
-    const auto& calls = m_calls.get<leaving>();
+    const auto& calls = m_calls.get<expiryIndex>();
     return calls.empty() ? nullptr : &*calls.begin();
 }
 
-std::size_t waiting_calls::countBefore(admission_level level, const std::string& customer, time_point deadline) const
+std::size_t waiting_calls::countBefore(admission_level level, const std::string& workspace, time_point deadline) const
 {
-    const auto& calls = m_calls.get<order>();
-    return calls.upper_bound_rank(endOf(level, customer, deadline)) - calls.lower_bound_rank(startOf(level, customer));
+    const auto& calls = m_calls.get<orderIndex>();
+    return calls.upper_bound_rank(endOf(level, workspace, deadline))
+        - calls.lower_bound_rank(startOf(level, workspace));
 }
 
 std::size_t waiting_calls::count(call_length length) const
--- a/src/admission/internal/ageing_quantiles.cpp
+++ b/src/admission/internal/windowed_quantiles.cpp
@@ -1,4 +1,4 @@
-#include "admission/ageing_quantiles.h"
+#include "admission/windowed_quantiles.h"
 
 #include "admission/seconds.h"
 
@@ -14,9 +14,9 @@
 
     constexpr std::size_t windowValues = 1024;
     constexpr duration windowTime = 10s;
-    // With fewer values the P2 markers for three quantiles (nine) are hardly filled.
-    constexpr std::size_t leastValues = 16;
-    constexpr duration mostAge = 10min;
+    // P2 needs nine markers for three quantiles; with fewer values than this their positions are not meaningful.
+    constexpr std::size_t minValues = 16;
+    constexpr duration maxAge = 10min;
     constexpr std::array<double, 3> probabilities { 0.5, 0.9, 0.99 };
 
     service_quantiles weightedMean(
@@ -35,20 +35,21 @@
 } // namespace
 
 // Boost.Accumulators implements the P2 algorithm (Jain and Chlamtac, "The P2 Algorithm for Dynamic Calculation of
-// Quantiles and Histograms Without Storing Observations", CACM 28, 1985). It never forgets, hence the two windows.
-ageing_quantiles::ageing_quantiles()
-    : m_current(emptyAccumulator())
-    , m_previous(emptyAccumulator())
+// Quantiles and Histograms Without Storing Observations", CACM 28, 1985). It does not discard old values, hence the two
+// windows.
+windowed_quantiles::windowed_quantiles()
+    : m_current(makeAccumulator())
+    , m_previous(makeAccumulator())
 {
 }
 
-void ageing_quantiles::add(duration value, time_point now)
+void windowed_quantiles::add(duration value, time_point now)
 {
     const auto count = accumulators::count(m_current);
-    const bool isOver = count >= windowValues || (count >= leastValues && now - m_windowStart >= windowTime);
+    const bool isOver = count >= windowValues || (count >= minValues && now - m_windowStart >= windowTime);
     if (isOver) {
         m_previous = m_current;
-        m_current = emptyAccumulator();
+        m_current = makeAccumulator();
     }
     if (accumulators::count(m_current) == 0)
         m_windowStart = now;
@@ -56,23 +57,23 @@
     m_current(inSeconds(value));
 }
 
-std::optional<service_quantiles> ageing_quantiles::quantiles(time_point now) const
+std::optional<service_quantiles> windowed_quantiles::quantiles(time_point now) const
 {
-    if (now - m_newest > mostAge)
+    if (now - m_newest > maxAge)
         return std::nullopt;
     const auto newer = accumulators::count(m_current);
-    // The previous window counts only as far as the current one is not full yet.
+    // The weight of the previous window is the number of values that the current one lacks to be full.
     const auto older = std::min(accumulators::count(m_previous), windowValues - std::min(newer, windowValues));
-    // Empty accumulators yield no numbers, so a window that does not count must not enter the weighted mean.
+    // Quantiles of an empty accumulator are NaN, so a window with weight 0 must not enter the weighted mean.
     if (older == 0)
-        return newer < leastValues ? std::nullopt : std::optional(quantilesOf(m_current));
-    if (newer < leastValues)
+        return newer < minValues ? std::nullopt : std::optional(quantilesOf(m_current));
+    if (newer < minValues)
         return quantilesOf(m_previous);
     return weightedMean(
         quantilesOf(m_current), static_cast<double>(newer), quantilesOf(m_previous), static_cast<double>(older));
 }
 
-service_quantiles ageing_quantiles::quantilesOf(const accumulator& values)
+service_quantiles windowed_quantiles::quantilesOf(const accumulator& values)
 {
     const auto quantiles = accumulators::extended_p_square(values);
     return { .mean = fromSeconds(accumulators::mean(values)),
@@ -81,7 +82,7 @@
         .p99 = fromSeconds(quantiles[2]) };
 }
 
-ageing_quantiles::accumulator ageing_quantiles::emptyAccumulator()
+windowed_quantiles::accumulator windowed_quantiles::makeAccumulator()
 {
     return accumulator(accumulators::extended_p_square_probabilities = probabilities);
 }
--- a/src/admission/load_view.h
+++ b/src/admission/load_view.h
@@ -10,25 +10,25 @@
 
 namespace heatherdrift {
 
-/// What a backend server says of itself. It may lag or mislead.
+/// Health and load that a backend server reports about itself. May be outdated or wrong.
 struct server_report {
     bool isHealthy = true;
     double load = 0; ///< Share of its slots in use, 0 to 1.
-    time_point at {}; ///< When it was true at the latest.
+    time_point at {}; ///< Time up to which the report was valid.
 
     bool operator==(const server_report&) const = default;
 };
 
-/// End of a call as seen by this node.
+/// Outcome of a call as observed by this node.
 struct call_observation {
     enum class kind {
         success,
-        failure, ///< No answer, or an answer that shows that the server is broken.
+        failure, ///< No response, or a response that indicates a broken server.
         refused, ///< The server or its node refused the call because of its load.
-        cancelled, ///< Ended by the caller; says nothing of the server.
+        cancelled, ///< Cancelled by the caller; no evidence about the server.
     };
     kind outcome = kind::success;
-    /// Of a short call; empty for long calls, whose duration depends on their size.
+    /// Latency of a short call; empty for long calls, whose duration depends on their size.
     std::optional<duration> latency;
 
     bool operator==(const call_observation&) const = default;
@@ -37,19 +37,20 @@
 /// Settings of load_view; see docs/admission.md.
 struct load_view_settings {
     std::string zone; ///< Availability zone of this node.
-    double zoneTolerance = 1.5; ///< A server in the own zone is preferred up to this factor in cost.
-    duration memory = std::chrono::seconds(5); ///< Time constant of own observations.
-    duration mostReportAge = std::chrono::seconds(3); ///< Older reports are ignored.
+    double zoneTolerance = 1.5; ///< A server in the local zone is preferred while its cost is at most this factor times
+                                ///< that of the other candidate.
+    duration memory = std::chrono::seconds(5); ///< Time constant of the decay of local observations.
+    duration maxReportAge = std::chrono::seconds(3); ///< Older reports are ignored.
     slow_start_settings slowStart {};
     outlier_settings outliers {};
 
     bool operator==(const load_view_settings&) const = default;
 };
 
-/// What a pick has to respect.
+/// Constraints of a pick.
 struct pick_options {
     std::vector<instance_id> excluded {}; ///< For example servers that refused this request already.
-    bool mayProbe = false; ///< Whether the call may go to a server that failed recently: it can be retried.
+    bool mayProbe = false; ///< Whether the call can be retried and may therefore probe an ejected server.
 };
 
 /// Picks a backend server of a pool for calls that need no key ownership.
@@ -57,19 +58,20 @@
 public:
     explicit load_view(random_function, const load_view_settings& = {});
 
-    /// A server appeared. A cold one gets its full share only after the slow start.
+    /// Adds a server. A cold one gets its full share only after the slow start.
     void add(const instance_id&, const std::string& zone, bool isCold, time_point now);
     void remove(const instance_id&);
     void report(const instance_id&, const server_report&);
 
-    /// Empty if every server is excluded or out of service. Takes O(1) on average unless most servers are out of
-    /// service.
+    /// Returns nullopt if every server is excluded or out of service. Takes O(1) on average unless most servers are out
+    /// of service.
     std::optional<instance_id> pick(const pick_options&, time_point now);
-    /// Every pick that is used must be reported as started and as finished.
+    /// Each picked server that is called must be reported to started() and finished().
     void started(const instance_id&, time_point now);
     void finished(const instance_id&, const call_observation&, time_point now);
 
-    /// Expected time to serve one more call, in seconds, with penalties; the lower one is picked.
+    /// Expected latency of one more call, in seconds, with penalties for failures, refusals and reported load. Of two
+    /// candidates, the one with the lower cost is picked.
     double cost(const instance_id&, time_point now) const;
     server_condition condition(const instance_id& id, time_point now) const { return m_outliers.condition(id, now); }
 
@@ -94,7 +96,7 @@
     std::optional<position> draw(
         const std::vector<position>& from, const pick_options&, std::optional<position> except, time_point now);
     std::optional<instance_id> dueProbe(const pick_options&, time_point now);
-    std::optional<instance_id> lastResort(const pick_options&, time_point now) const;
+    std::optional<instance_id> fallbackServer(const pick_options&, time_point now) const;
     void rebuildIndex();
     void countUnhealthyReports();
 
--- a/src/admission/recent_map.h
+++ b/src/admission/lru_map.h
@@ -8,15 +8,15 @@
 
 namespace heatherdrift {
 
-/// Map of bounded size that forgets the least recently used entry. Operations take O(log n).
-template <typename Key, typename Value> class recent_map {
+/// Map of bounded size that evicts the least recently used entry. Operations take O(log n).
+template <typename Key, typename Value> class lru_map {
 public:
-    explicit recent_map(std::size_t capacity)
+    explicit lru_map(std::size_t capacity)
         : m_capacity(capacity)
     {
     }
 
-    /// The entry or null; does not count as use.
+    /// Returns the entry or null; does not mark it as used.
     const Value* find(const Key& key) const
     {
         const auto& keys = m_entries.template get<1>();
@@ -24,8 +24,8 @@
         return found == keys.end() ? nullptr : &found->value;
     }
 
-    /// The entry, made from the arguments if there is none, and marked as the most recently used.
-    template <typename... Arguments> Value& use(const Key& key, Arguments&&... arguments)
+    /// Returns the entry, constructed from the arguments if missing, and marks it as the most recently used.
+    template <typename... Arguments> Value& getOrInsert(const Key& key, Arguments&&... arguments)
     {
         auto& order = m_entries.template get<0>();
         auto& keys = m_entries.template get<1>();
--- a/src/admission/outlier_detector.h
+++ b/src/admission/outlier_detector.h
@@ -11,13 +11,15 @@
 struct outlier_settings {
     int consecutiveFailures = 5; ///< Ejects a server after this many failures in a row,
     double failureShare = 0.5; ///< or when this share of its calls failed,
-    double leastCalls = 10; ///< counted over at least this many calls
+    double minCalls = 10; ///< counted over at least this many calls
     duration window = std::chrono::seconds(5); ///< with this time constant.
-    double mostEjectedShare = 0.34; ///< Of all servers; at least one of two or more.
+    double maxEjectedShare
+        = 0.34; ///< Maximum share of all servers that is out of service; at least one server of two or more.
     duration firstEjection = std::chrono::seconds(5); ///< Doubles with each further ejection,
     duration mostEjection = std::chrono::minutes(5); ///< up to this time.
-    duration forgetAfter = std::chrono::minutes(10); ///< Time in service after which earlier ejections no longer count.
-    int probes = 3; ///< Probes that must succeed in a row before a server is back in service.
+    duration ejectionResetAfter
+        = std::chrono::minutes(10); ///< Time in service after which earlier ejections no longer count.
+    int probes = 3; ///< Consecutive successful probes before a server returns to service.
     duration probeInterval = std::chrono::milliseconds(500);
 
     bool operator==(const outlier_settings&) const = default;
@@ -29,7 +31,7 @@
     probing, ///< Gets single calls; see isProbeDue().
 };
 
-/// Takes failing servers out of service and lets them back in after successful probes. Calls that started before an
+/// Ejects failing servers and returns them to service after successful probes. Results of calls that started before an
 /// ejection and end during it are ignored.
 class outlier_detector {
 public:
@@ -38,9 +40,9 @@
     void add(const instance_id&, time_point now);
     void remove(const instance_id&);
 
-    /// True if this success brought the server back into service.
+    /// Returns true if this success returned the server to service.
     bool observeSuccess(const instance_id&, time_point now);
-    /// True if this failure ejected the server.
+    /// Returns true if this failure ejected the server.
     bool observeFailure(const instance_id&, time_point now);
 
     server_condition condition(const instance_id&, time_point now) const;
@@ -56,8 +58,8 @@
         decaying_average failures;
         int failuresInRow = 0;
         int ejections = 0;
-        bool isOut = false;
-        time_point changedAt {}; // Of the last ejection or re-admission.
+        bool isOutOfService = false;
+        time_point changedAt {}; // Time of the last ejection or return to service.
         time_point ejectedUntil {};
         time_point nextProbeAt {};
         int probesPassed = 0;
--- a/src/admission/quarantine.h
+++ b/src/admission/quarantine.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "admission/decaying_sum.h"
-#include "admission/recent_map.h"
+#include "admission/lru_map.h"
 #include "admission/request_fingerprint.h"
 #include "base/failure.h"
 
@@ -11,9 +11,10 @@
 
 namespace heatherdrift {
 
-/// Suspicion against one fingerprint from one crash. Nodes exchange it; on the wire `at` is an age.
+/// Attribution of one crash to one request fingerprint, with a weight. Nodes exchange attributions as `Strike`; on the
+/// wire, `at` is an age.
 struct crash_strike {
-    std::uint64_t id = 0; ///< Same on every node for the same crash and fingerprint.
+    std::uint64_t id = 0; ///< Identical on every node for the same crash and fingerprint.
     request_fingerprint fingerprint = 0;
     double weight = 0;
     time_point at {};
@@ -23,46 +24,48 @@
 
 /// Settings of quarantine; see docs/admission.md.
 struct quarantine_settings {
-    double limit = 0.9; ///< A fingerprint whose strikes add up to this is refused.
-    double aloneWeight = 0.6; ///< Weight of a crash with one fingerprint in flight; shared among several of them.
-    double isolatedWeight = 1; ///< Weight of a crash for the only suspect in flight; shared among several suspects.
-    double leastSuspicion = 0.01; ///< Below this weight a fingerprint is no suspect any more.
-    duration memory = std::chrono::minutes(10); ///< Time constant of the decay of strikes.
-    duration refusal = std::chrono::minutes(10);
-    duration isolation = std::chrono::seconds(2); ///< A suspect that survived this long lets the next one start.
-    std::size_t mostFingerprints = 4096;
-    std::size_t mostStrikes = 16384; ///< Strike ids remembered, to count each strike once.
+    double refusalThreshold = 0.9; ///< A fingerprint is refused when the weights of its attributions add up to this.
+    double crashWeight = 0.6; ///< Weight of a crash; divided evenly if several fingerprints were in flight.
+    double isolatedCrashWeight
+        = 1; ///< Weight of a crash for an isolated suspect; divided evenly if several suspects were in flight.
+    double minSuspicion = 0.01; ///< A fingerprint below this weight is no longer a suspect.
+    duration decayTimeConstant = std::chrono::minutes(10); ///< Time constant of the decay of attributions.
+    duration refusalPeriod = std::chrono::minutes(10);
+    duration isolationPeriod
+        = std::chrono::seconds(2); ///< The next suspect may start once one has run for this long without a crash.
+    std::size_t maxFingerprints = 4096;
+    std::size_t maxAttributions = 16384; ///< Attribution ids kept, so that each attribution is applied once.
 
     bool operator==(const quarantine_settings&) const = default;
 };
 
 enum class quarantine_decision {
-    run, ///< No suspicion.
-    run_isolated, ///< A suspect that may start, since no other one does.
-    wait, ///< A suspect that has to wait for another one; ask again at nextIsolationAt() or when one ends.
+    run, ///< Not a suspect.
+    run_isolated, ///< A suspect that may start, since no other suspect runs.
+    wait, ///< A suspect that must wait for another one; call decide() again at nextIsolationAt() or when one ends.
     refuse,
 };
 
-/// Finds requests that crash backend servers. Suspects run one at a time before they are refused, so that a request
-/// that was in flight by chance is cleared by its next run.
+/// Detects requests that crash backend servers (queries of death). Suspects run one at a time before they are refused,
+/// so that a request that was in flight by chance is cleared by its next run.
 class quarantine {
 public:
     explicit quarantine(const quarantine_settings& = {});
 
-    /// `run_isolated` takes the place of the one suspect that may start; finished() gives it back.
+    /// `run_isolated` reserves the isolated run for this fingerprint; finishIsolatedRun() releases it.
     quarantine_decision decide(request_fingerprint, time_point now);
-    /// `quarantined`, to be given to the caller on `refuse`.
+    /// The `quarantined` error to return to the caller on `refuse`.
     failure refusal() const;
     /// A request that ran isolated ended. If the backend server answered, the request is cleared.
-    void finished(request_fingerprint, bool answered, time_point now);
+    void finishIsolatedRun(request_fingerprint, bool answered, time_point now);
     /// When the next suspect may start even if the current one still runs.
     time_point nextIsolationAt() const;
 
-    /// The backend server crashed with these requests in flight. The id names the crash, for example by instance,
-    /// incarnation and number. Returns the strikes for the other nodes.
-    std::vector<crash_strike> crashed(
+    /// Records a crash of the backend server with these requests in flight. The id names the crash, for example by
+    /// instance, incarnation and number. Returns the attributions for the other nodes.
+    std::vector<crash_strike> recordCrash(
         std::string_view crashId, const std::vector<request_fingerprint>& inFlight, time_point now);
-    /// Takes over strikes from other nodes; strikes that are known already are ignored.
+    /// Applies attributions from other nodes; those that were applied before are ignored.
     void merge(const std::vector<crash_strike>&);
 
     double suspicion(request_fingerprint, time_point now) const;
@@ -78,9 +81,9 @@
     void apply(const crash_strike&);
 
     quarantine_settings m_settings;
-    recent_map<request_fingerprint, record> m_records;
-    recent_map<std::uint64_t, char> m_known;
-    std::set<request_fingerprint> m_isolated; // Suspects that run now.
+    lru_map<request_fingerprint, record> m_records;
+    lru_map<std::uint64_t, char> m_appliedIds;
+    std::set<request_fingerprint> m_isolated; // Suspects that are running.
     time_point m_isolatedUntil = time_point::min();
 };
 
--- a/src/admission/request_classifier.h
+++ b/src/admission/request_classifier.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "admission/recent_map.h"
+#include "admission/lru_map.h"
 #include "admission/work_kind.h"
 #include "configuration/configuration.h"
 
@@ -10,17 +10,19 @@
 
 /// Settings of request_classifier; see docs/admission.md.
 struct classifier_settings {
-    duration shortLimit = std::chrono::milliseconds(50); ///< Calls that take this long or longer count as long.
-    double longFrom = 0.1; ///< A short kind becomes long when this share of its calls is long,
-    double shortFrom = 0.02; ///< and a long one becomes short below this share of calls above half the limit,
-    duration confirmation = std::chrono::seconds(1); ///< if the share stays there for this time.
+    duration shortLimit = std::chrono::milliseconds(50); ///< Calls of this duration or more are long.
+    double longThreshold = 0.1; ///< A short kind becomes long when at least this share of its calls is long,
+    double shortThreshold
+        = 0.02; ///< and a long one becomes short when less than this share takes half of shortLimit or more,
+    duration confirmationTime = std::chrono::seconds(1); ///< in both cases only if the share stays there for this time.
     int window = 32; ///< Number of calls over which the share is averaged.
-    std::size_t mostKinds = 1024; ///< Kinds remembered; the least recently observed one is forgotten.
+    std::size_t maxKinds = 1024; ///< Maximum number of kinds kept; the least recently observed one is evicted.
 
     bool operator==(const classifier_settings&) const = default;
 };
 
-/// Class of each kind of work: as configured, until observed durations contradict it for long enough.
+/// Classifies kinds of work: as configured, until observed durations contradict the configured class for the
+/// confirmation time.
 class request_classifier {
 public:
     explicit request_classifier(const classifier_settings& = {});
@@ -41,7 +43,7 @@
     static kind_state initialState(call_length configured);
 
     classifier_settings m_settings;
-    recent_map<work_kind, kind_state> m_kinds;
+    lru_map<work_kind, kind_state> m_kinds;
 };
 
 } // namespace heatherdrift
--- a/src/admission/request_fingerprint.h
+++ b/src/admission/request_fingerprint.h
@@ -15,8 +15,8 @@
     std::string_view method;
     std::string_view path; ///< With the query.
     std::string_view key;
-    std::optional<std::string_view> body; ///< Empty if the body is not known.
-    std::string_view token; ///< Counts only if the body is not known.
+    std::optional<std::string_view> body; ///< Empty if the body is not available.
+    std::string_view token; ///< Used only if the body is not available.
 };
 
 request_fingerprint fingerprintOf(const request_content&);
--- a/src/admission/retry_backoff.h
+++ b/src/admission/retry_backoff.h
@@ -9,17 +9,18 @@
 
 /// Settings of exponential backoff.
 struct backoff_settings {
-    duration first = std::chrono::milliseconds(10); ///< Longest delay after the first failure; it doubles each time.
-    duration most = std::chrono::seconds(1); ///< Longest delay after any number of failures.
+    duration initialWindow
+        = std::chrono::milliseconds(10); ///< Maximum delay after the first failure; doubles with each further failure.
+    duration maxWindow = std::chrono::seconds(1); ///< Upper bound of the maximum delay.
 
     bool operator==(const backoff_settings&) const = default;
 };
 
-/// Longest delay after this number of failures, at least 1.
+/// Maximum delay after this number of failures; less than 1 failure counts as 1.
 duration backoffWindow(int failures, const backoff_settings&);
 
-/// Time of the next attempt at a request that failed this many times. Empty if an attempt that takes `needed` can no
-/// longer end by the deadline.
+/// Time of the next attempt of a request that failed this many times. Returns nullopt if an attempt that takes `needed`
+/// can no longer end by the deadline.
 std::optional<time_point> nextAttempt(int failures, time_point now, time_point deadline, duration needed,
     const random_function&, const backoff_settings& = {});
 
--- a/src/admission/retry_budget.h
+++ b/src/admission/retry_budget.h
@@ -7,8 +7,8 @@
 /// Settings of retry_budget; see docs/admission.md.
 struct retry_budget_settings {
     double share = 0.1; ///< Retries allowed per first attempt.
-    double floorPerSecond = 1; ///< Retries allowed per second without regard to first attempts.
-    double most = 100; ///< Retries that can be saved up.
+    double floorPerSecond = 1; ///< Retries allowed per second independently of first attempts.
+    double most = 100; ///< Capacity of the token bucket, in retries.
 
     bool operator==(const retry_budget_settings&) const = default;
 };
@@ -19,7 +19,7 @@
     explicit retry_budget(time_point now, const retry_budget_settings& = {});
 
     void recordFirstAttempt(time_point now);
-    /// Takes the permission for one retry; false if the budget is spent.
+    /// Takes one token; returns false if the budget is exhausted.
     bool tryRetry(time_point now);
     /// Retries allowed now.
     double balance(time_point now) const;
--- a/src/admission/seconds.h
+++ b/src/admission/seconds.h
@@ -6,7 +6,7 @@
 
 inline double inSeconds(duration value) { return std::chrono::duration<double>(value).count(); }
 
-/// Rounds towards zero; values beyond a year in either direction are cut to a year.
+/// Rounds towards zero; clamps to one year in either direction.
 duration fromSeconds(double);
 
 } // namespace heatherdrift
--- a/src/admission/slow_start.h
+++ b/src/admission/slow_start.h
@@ -7,7 +7,7 @@
 /// Settings of slow_start; see docs/admission.md.
 struct slow_start_settings {
     duration ramp = std::chrono::seconds(30);
-    double initialShare = 0.1; ///< Share at the start, above 0.
+    double initialShare = 0.1; ///< Share at the cold start; above 0.
 
     bool operator==(const slow_start_settings&) const = default;
 };
--- a/src/admission/tests/admission_parts_test.cpp
+++ b/src/admission/tests/admission_parts_test.cpp
@@ -1,11 +1,11 @@
-#include "admission/customer_fairness.h"
 #include "admission/decaying_sum.h"
 #include "admission/demand_meter.h"
 #include "admission/expected_wait.h"
-#include "admission/recent_map.h"
+#include "admission/lru_map.h"
 #include "admission/seconds.h"
 #include "admission/short_reserve.h"
 #include "admission/slow_start.h"
+#include "admission/workspace_fairness.h"
 
 #include <cmath>
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
         EXPECT_EQ(fromSeconds(-std::numeric_limits<double>::infinity()), duration(-365 * 24h));
     }
 
-    // Guards against strikes and samples that weigh differently when they arrive in another order.
+    // Guards against sums that depend on the order in which values arrive.
     RC_GTEST_PROP(DecayingSum, DoesNotDependOnTheOrder, ())
     {
         const auto ages = *rc::gen::container<std::vector<int>>(5, rc::gen::inRange(0, 5000));
@@ -102,14 +102,14 @@
                 << entry.slots << " " << entry.share << " " << entry.demand;
     }
 
-    // Guards against unbounded memory and against forgetting what is in use.
-    TEST(RecentMap, ForgetsTheLeastRecentlyUsedEntry)
+    // Guards against unbounded memory and against eviction of recently used entries.
+    TEST(LruMap, EvictsTheLeastRecentlyUsedEntry)
     {
-        recent_map<int, int> map(2);
-        map.use(1) = 10;
-        map.use(2) = 20;
-        map.use(1);
-        map.use(3) = 30;
+        lru_map<int, int> map(2);
+        map.getOrInsert(1) = 10;
+        map.getOrInsert(2) = 20;
+        map.getOrInsert(1);
+        map.getOrInsert(3) = 30;
         EXPECT_EQ(map.size(), 2u);
         EXPECT_EQ(map.find(2), nullptr);
         ASSERT_NE(map.find(1), nullptr);
@@ -128,34 +128,35 @@
         EXPECT_TRUE(ramp.isWarm(start + 30s));
     }
 
-    // Guards against one customer that gets more than its share because it sends more, or longer calls.
-    TEST(CustomerFairness, CompetingCustomersGetEqualServiceTime)
+    // Guards against one workspace that gets more than its share because it sends more or longer calls.
+    TEST(WorkspaceFairness, CompetingWorkspacesGetEqualServiceTime)
     {
-        customer_fairness fairness;
+        workspace_fairness fairness;
         const std::map<std::string, duration> serviceTimes { { "a", 1ms }, { "b", 1ms }, { "c", 4ms } };
-        for (const auto& [customer, time] : serviceTimes) {
+        for (const auto& [workspace, time] : serviceTimes) {
             for (int count = 0; count < 1000; ++count)
-                fairness.addWaiting(level, customer);
+                fairness.addWaiting(level, workspace);
         }
         std::map<std::string, duration> used;
         for (int count = 0; count < 900; ++count) {
-            const std::string customer = *fairness.next(level);
-            // The expected time is wrong for c; the correction at the end must make up for it.
-            fairness.startWaiting(level, customer, 1ms);
-            fairness.finish(level, customer, call_length::short_call, 1ms, serviceTimes.at(customer));
-            used[customer] += serviceTimes.at(customer);
+            const std::string workspace = *fairness.next(level);
+            // The expected time is wrong for c; the correction in finish() must compensate for it.
+            fairness.startWaiting(level, workspace, 1ms);
+            fairness.finish(level, workspace, call_length::short_call, 1ms, serviceTimes.at(workspace));
+            used[workspace] += serviceTimes.at(workspace);
         }
         EXPECT_NEAR(inSeconds(used["a"]), inSeconds(used["b"]), 0.01);
         EXPECT_NEAR(inSeconds(used["a"]), inSeconds(used["c"]), 0.01);
     }
 
-    // Guards against a customer that saves up turns while it is away, and against memory that grows with each customer.
-    TEST(CustomerFairness, ReturningCustomerStartsLevelWithTheOthers)
+    // Guards against a workspace that accumulates credit while it has no calls, and against memory that grows with each
+    // workspace.
+    TEST(WorkspaceFairness, ReturningWorkspaceGetsNoCreditForItsAbsence)
     {
-        customer_fairness fairness;
-        const auto serve = [&](const std::string& customer) {
-            fairness.startWaiting(level, customer, 1ms);
-            fairness.finish(level, customer, call_length::short_call, 1ms, 1ms);
+        workspace_fairness fairness;
+        const auto serve = [&](const std::string& workspace) {
+            fairness.startWaiting(level, workspace, 1ms);
+            fairness.finish(level, workspace, call_length::short_call, 1ms, 1ms);
         };
         for (int count = 0; count < 200; ++count)
             fairness.addWaiting(level, "busy");
@@ -165,14 +166,14 @@
             fairness.addWaiting(level, "back");
         int turns = 0;
         for (int count = 0; count < 20; ++count) {
-            const std::string customer = *fairness.next(level);
-            turns += customer == "back";
-            serve(customer);
+            const std::string workspace = *fairness.next(level);
+            turns += workspace == "back";
+            serve(workspace);
         }
         EXPECT_NEAR(turns, 10, 1);
-        EXPECT_EQ(fairness.customers(level), 2u);
-        EXPECT_EQ(*fairness.longest(level), "busy");
-        EXPECT_EQ(fairness.held(call_length::short_call, "back"), 0);
+        EXPECT_EQ(fairness.workspaces(level), 2u);
+        EXPECT_EQ(*fairness.longestQueue(level), "busy");
+        EXPECT_EQ(fairness.heldSlots(call_length::short_call, "back"), 0);
     }
 
 } // namespace
--- a/src/admission/tests/admission_queue_property_test.cpp
+++ b/src/admission/tests/admission_queue_property_test.cpp
@@ -13,10 +13,10 @@
     // Drives a queue with random operations and compares each action with a plain model of what waits and what runs.
     class queue_model {
     public:
-        queue_model(int slots, double shortShare, std::size_t mostCalls)
+        queue_model(int slots, double shortShare, std::size_t maxCalls)
             : m_shortShare(shortShare)
             , m_slots(slots)
-            , m_queue(settings(slots, shortShare, mostCalls))
+            , m_queue(settings(slots, shortShare, maxCalls))
         {
         }
 
@@ -55,13 +55,13 @@
         }
 
     private:
-        static admission_settings settings(int slots, double shortShare, std::size_t mostCalls)
+        static admission_settings settings(int slots, double shortShare, std::size_t maxCalls)
         {
             admission_settings result;
             result.slots = slots;
             result.shortShare = shortShare;
-            result.shortCalls.mostCalls = mostCalls;
-            result.longCalls.mostCalls = mostCalls;
+            result.shortCalls.maxCalls = maxCalls;
+            result.longCalls.maxCalls = maxCalls;
             return result;
         }
 
@@ -111,7 +111,7 @@
         void apply(const admission_actions& actions)
         {
             for (const auto& action : actions) {
-                // Everything leaves exactly once.
+                // Each call leaves the queue exactly once.
                 const auto found = m_waiting.find(action.id);
                 RC_ASSERT(found != m_waiting.end());
                 const auto request = found->second;
@@ -134,7 +134,7 @@
                 if (other.level.length != request.level.length || isSubmitted(id))
                     continue;
                 RC_ASSERT(other.level.priority <= request.level.priority);
-                const bool isSameTurn = other.level == request.level && other.customer == request.customer;
+                const bool isSameTurn = other.level == request.level && other.workspace == request.workspace;
                 RC_ASSERT(!isSameTurn || other.deadline >= request.deadline);
             }
         }
@@ -153,7 +153,7 @@
 
         void checkState()
         {
-            // No operation leaves an action behind.
+            // Each operation returns all actions that are due.
             RC_ASSERT(m_queue.advance(m_now).empty());
             const auto running = m_queue.running(call_length::short_call) + m_queue.running(call_length::long_call);
             RC_ASSERT(running == static_cast<int>(m_running.size()));
--- a/src/admission/tests/admission_queue_test.cpp
+++ b/src/admission/tests/admission_queue_test.cpp
@@ -19,10 +19,10 @@
         return settings;
     }
 
-    admission_request request(std::uint64_t id, admission_level level, const std::string& customer = "a",
+    admission_request request(std::uint64_t id, admission_level level, const std::string& workspace = "a",
         time_point deadline = start + 60s, duration expected = 2ms)
     {
-        return { id, level, customer, deadline, expected, expected };
+        return { id, level, workspace, deadline, expected, expected };
     }
 
     std::vector<std::uint64_t> idsOf(const admission_actions& actions, admission_step step)
@@ -56,7 +56,7 @@
         }
     }
 
-    // Guards against short load that keeps long calls out for ever.
+    // Guards against starvation of long calls by short load.
     TEST(AdmissionQueue, LongCallGetsTheNextSlotWhenNoneRuns)
     {
         admission_queue queue(smallSettings(2, 1));
@@ -85,7 +85,7 @@
         EXPECT_EQ(order, (ids { 12, 2, 13, 3 }));
     }
 
-    // Guards against work that is queued although it must expire, and against refusal of work that can be done.
+    // Guards against queueing calls that cannot meet their deadline, and against refusing calls that can.
     TEST(AdmissionQueue, RefusesAtOnceWhatCannotFinishInTime)
     {
         struct {
@@ -123,11 +123,12 @@
         }
     }
 
-    // Guards against a queue full of low priorities that keeps higher ones out, and against one customer that fills it.
-    TEST(AdmissionQueue, FullQueueGivesUpTheLowestPriorityOfTheLongestCustomer)
+    // Guards against a queue full of low-priority calls that blocks higher priorities, and against one workspace that
+    // occupies the whole queue.
+    TEST(AdmissionQueue, FullQueueEvictsFromTheLongestQueueOfTheLowestPriority)
     {
         auto settings = smallSettings(1);
-        settings.shortCalls.mostCalls = 3;
+        settings.shortCalls.maxCalls = 3;
         const auto make = [&] {
             auto queue = std::make_unique<admission_queue>(settings);
             queue->submit(request(1, shortLevel), start);
@@ -138,14 +139,14 @@
         };
         struct {
             int priority;
-            const char* customer;
+            const char* workspace;
             std::uint64_t refused;
         } const cases[] = { { 3, "c", 3 }, { 2, "c", 3 }, { 2, "b", 9 }, { 2, "a", 9 }, { 1, "c", 9 } };
         for (const auto& entry : cases) {
             const auto actions
-                = make()->submit(request(9, { call_length::short_call, entry.priority }, entry.customer), start);
+                = make()->submit(request(9, { call_length::short_call, entry.priority }, entry.workspace), start);
             EXPECT_EQ(idsOf(actions, admission_step::refuse), (ids { entry.refused }))
-                << entry.priority << entry.customer;
+                << entry.priority << entry.workspace;
         }
     }
 
@@ -178,12 +179,12 @@
         EXPECT_EQ(actions.front().reason->code, error_code::overloaded);
     }
 
-    // Guards against calls marked short that hold slots for long and let further long calls in beside them.
+    // Guards against calls classified as short that hold their slots for long and are not counted as long calls.
     TEST(AdmissionQueue, ShortCallsThatOutlastTheLimitCountAsLong)
     {
         ids counted;
         admission_hooks hooks;
-        hooks.countedAsLong = [&](std::uint64_t id, time_point) { counted.push_back(id); };
+        hooks.onCountedAsLong = [&](std::uint64_t id, time_point) { counted.push_back(id); };
         admission_queue queue(smallSettings(4), hooks);
         queue.submit(request(1, shortLevel), start);
         queue.submit(request(2, shortLevel), start);
@@ -198,7 +199,7 @@
         EXPECT_EQ(queue.running(call_length::long_call), 0);
     }
 
-    // Guards against new calls above a lowered limit, and against a raised limit that is not used.
+    // Guards against starting calls above a lowered limit, and against a raised limit that is not used.
     TEST(AdmissionQueue, ChangedLimitCountsForTheNextCalls)
     {
         admission_queue queue(smallSettings(3));
@@ -210,8 +211,8 @@
         EXPECT_EQ(idsOf(queue.setSlots(9, start), admission_step::run), (ids { 5 }));
     }
 
-    // Guards against a customer that keeps the slots it filled while others were absent.
-    TEST(AdmissionQueue, FreedSlotGoesToTheCustomerWithFewerSlots)
+    // Guards against a workspace that keeps all slots that it got while no other workspace had calls.
+    TEST(AdmissionQueue, FreedSlotGoesToTheWorkspaceWithFewerSlots)
     {
         admission_queue queue(smallSettings(8, 0.5));
         for (std::uint64_t id = 1; id <= 10; ++id)
@@ -223,7 +224,7 @@
         EXPECT_EQ(idsOf(queue.finish(3, start + 1s), admission_step::run), (ids { 5 }));
     }
 
-    // Guards against rules that cannot be replaced.
+    // Guards against policies that hooks cannot replace.
     TEST(AdmissionQueue, HooksReplaceTheRules)
     {
         admission_hooks hooks;
--- a/src/admission/tests/backend_admission_test.cpp
+++ b/src/admission/tests/backend_admission_test.cpp
@@ -43,7 +43,8 @@
         return std::nullopt;
     }
 
-    // Guards against a wrong label that stays: calls marked short that run long must free the reserved slots.
+    // Guards against a wrong class that is never corrected: calls configured as short that run long must not use the
+    // slots reserved for short calls.
     TEST(BackendAdmission, LearnsTheClassFromRunningCalls)
     {
         backend_admission admission(settings(4));
@@ -69,7 +70,7 @@
         EXPECT_EQ(admission.queue().waiting(call_length::long_call), 2u);
     }
 
-    // Guards against a queue that lets calls in by default times although the kind is known to be slower.
+    // Guards against admission by the default service times although longer times were observed for the kind.
     TEST(BackendAdmission, LearnsTheServiceTime)
     {
         backend_admission admission(settings(1));
@@ -129,8 +130,8 @@
         EXPECT_TRUE(runs(admission.submit(call(7, 8), start + 300ms), 7));
     }
 
-    // Guards against strikes of other nodes that have no effect here.
-    TEST(BackendAdmission, StrikesFromOtherNodesCount)
+    // Guards against crash attributions from other nodes that are not applied.
+    TEST(BackendAdmission, AttributionsFromOtherNodesCount)
     {
         backend_admission other(settings(1));
         backend_admission admission(settings(1));
@@ -161,7 +162,7 @@
         }
     }
 
-    // Guards against rules that cannot be replaced.
+    // Guards against policies that hooks cannot replace.
     TEST(BackendAdmission, HooksReplaceTheRules)
     {
         backend_admission_hooks hooks;
--- a/src/admission/tests/learning_test.cpp
+++ b/src/admission/tests/learning_test.cpp
@@ -28,7 +28,8 @@
         return classifier.classify(kind, configured);
     }
 
-    // Guards against a wrong label that is never corrected, and against a class that changes with every slow call.
+    // Guards against a wrongly configured class that is never corrected, and against a class that changes with every
+    // slow call.
     TEST(RequestClassifier, CorrectsTheClassWithHysteresis)
     {
         struct {
@@ -68,8 +69,8 @@
         EXPECT_EQ(observeCalls(classifier, shortCall, 2000, 20, now), shortCall);
     }
 
-    // Guards against a correction that outlives a change of the configuration.
-    TEST(RequestClassifier, NewConfigurationStartsAnew)
+    // Guards against a learned class that is kept after the configured class changes.
+    TEST(RequestClassifier, ChangedConfigurationResetsTheClass)
     {
         request_classifier classifier;
         auto now = start;
@@ -80,10 +81,10 @@
     }
 
     // Guards against wrong quantiles, above all in the first windows, when one of the two accumulators is empty.
-    TEST(AgeingQuantiles, FollowTheDistribution)
+    TEST(WindowedQuantiles, FollowTheDistribution)
     {
         for (const int values : { 16, 100, 1024, 1030, 5000 }) {
-            ageing_quantiles quantiles;
+            windowed_quantiles quantiles;
             const auto random = seededRandom(static_cast<std::uint64_t>(values));
             for (int count = 0; count < values; ++count)
                 quantiles.add(fromSeconds(-0.01 * std::log(1 - random())), start + count * 1ms);
@@ -97,7 +98,7 @@
         }
     }
 
-    // Guards against an estimate that never forgets the times before a change, and against one without any data.
+    // Guards against an estimate that never discards times from before a change, and against one without any data.
     TEST(ServiceTimeEstimate, AgesAndFallsBack)
     {
         service_time_estimate estimate;
--- a/src/admission/tests/load_view_test.cpp
+++ b/src/admission/tests/load_view_test.cpp
@@ -62,13 +62,13 @@
         time_point m_now = start;
     };
 
-    // Guards against own observations that do not change the choice.
+    // Guards against local observations that do not affect the choice.
     TEST(LoadView, PrefersServersThatAreBetterByOwnObservation)
     {
         struct {
             const char* name;
             std::function<void(view_driver&)> worsen; // Of server a.
-            double mostShare;
+            double maxShare;
         } const cases[] = {
             { "equal", [](view_driver&) {}, 0.45 },
             { "calls in flight",
@@ -98,11 +98,11 @@
             for (const auto* id : { "a", "b", "c" })
                 driver.warmUp(id);
             entry.worsen(driver);
-            EXPECT_LE(driver.shares()["a"], entry.mostShare) << entry.name;
+            EXPECT_LE(driver.shares()["a"], entry.maxShare) << entry.name;
         }
     }
 
-    // Guards against trust in reports that are old, contradicted by own calls, or bad for most servers.
+    // Guards against using reports that are outdated, contradicted by local calls, or negative for most servers.
     TEST(LoadView, ReportsCountLessThanOwnObservation)
     {
         struct {
@@ -145,7 +145,7 @@
         EXPECT_GT(driver.view().cost("a", start), driver.view().cost("b", start));
     }
 
-    // Guards against traffic across zones without need, and against a zone that is overloaded for its sake.
+    // Guards against unnecessary cross-zone traffic, and against overloading the local zone to avoid it.
     TEST(LoadView, PrefersTheOwnZoneOnlyWhileItsLoadAllows)
     {
         view_driver driver(4, "z1", { "z1", "z2" });
@@ -186,7 +186,7 @@
         EXPECT_EQ(driver.view().pick({}, start), std::nullopt);
     }
 
-    // Guards against calls to a broken server, a probe without permission, and a return to full load at once.
+    // Guards against calls to an ejected server, probes by calls that may not probe, and return to full load at once.
     TEST(LoadView, EjectsProbesAndReadmitsWithASlowStart)
     {
         view_driver driver(3);
@@ -266,7 +266,7 @@
         EXPECT_LE(ejections, 20);
     }
 
-    // Guards against a failed probe that lets a broken server back in.
+    // Guards against a failed probe that returns a broken server to service.
     TEST(OutlierDetector, FailedProbeEjectsAgain)
     {
         outlier_detector detector;
--- a/src/admission/tests/quarantine_test.cpp
+++ b/src/admission/tests/quarantine_test.cpp
@@ -26,7 +26,8 @@
         return list;
     }
 
-    // Guards against parts that run into each other, and against a fresh token that makes a resent request look new.
+    // Guards against collisions when bytes move from one part to the next, and against a fresh token that changes the
+    // fingerprint of a resent request.
     TEST(RequestFingerprint, DependsOnTheContentOnly)
     {
         const request_content base { "pool", "POST", "/orders", "key", "body", "token" };
@@ -56,9 +57,9 @@
     {
         for (const int inFlight : { 0, 11, 200 }) {
             quarantine records;
-            records.crashed("crash 1", with(others(inFlight), poison), start);
+            records.recordCrash("crash 1", with(others(inFlight), poison), start);
             EXPECT_EQ(records.decide(poison, start), decision::run_isolated) << inFlight;
-            records.crashed("crash 2", with(others(inFlight), poison), start + 1s);
+            records.recordCrash("crash 2", with(others(inFlight), poison), start + 1s);
             EXPECT_EQ(records.decide(poison, start + 1s), decision::refuse) << inFlight;
             EXPECT_EQ(records.refusal().outcome, verdict::not_run);
             EXPECT_EQ(records.refusal().code, error_code::quarantined);
@@ -69,68 +70,67 @@
         }
     }
 
-    // Guards against more suspicion of a request among many than of one that was alone.
+    // Guards against a request among many in flight that gets more suspicion than one that was alone.
     TEST(Quarantine, SuspicionDependsOnTheNumberInFlight)
     {
         quarantine alone;
-        alone.crashed("crash", { poison, poison }, start);
+        alone.recordCrash("crash", { poison, poison }, start);
         quarantine amongMany;
-        amongMany.crashed("crash", with(others(9), poison), start);
+        amongMany.recordCrash("crash", with(others(9), poison), start);
         EXPECT_NEAR(alone.suspicion(poison, start), 0.6, 1e-9);
         EXPECT_NEAR(amongMany.suspicion(poison, start), 0.06, 1e-9);
         EXPECT_LT(alone.suspicion(poison, start + 10min), 0.23);
         EXPECT_EQ(alone.decide(poison, start + 1h), decision::run);
     }
 
-    // Guards against innocent requests that are refused: after a crash each suspect runs alone, and its answer clears
-    // it.
+    // Guards against refusal of innocent requests: after a crash each suspect runs alone, and a response clears it.
     TEST(Quarantine, SuspectsRunOneAtATimeUntilCleared)
     {
         quarantine records;
-        records.crashed("crash", { 1, 2, 3 }, start);
+        records.recordCrash("crash", { 1, 2, 3 }, start);
         EXPECT_EQ(records.decide(1, start), decision::run_isolated);
         EXPECT_EQ(records.decide(2, start), decision::wait);
         EXPECT_EQ(records.decide(1, start), decision::wait);
         EXPECT_EQ(records.decide(9, start), decision::run);
-        records.finished(1, true, start);
+        records.finishIsolatedRun(1, true, start);
         EXPECT_EQ(records.decide(1, start), decision::run);
         EXPECT_EQ(records.decide(2, start), decision::run_isolated);
-        records.finished(2, false, start);
+        records.finishIsolatedRun(2, false, start);
         EXPECT_EQ(records.decide(2, start), decision::run_isolated);
         EXPECT_EQ(records.nextIsolationAt(), start + 2s);
         EXPECT_EQ(records.decide(3, start + 1s), decision::wait);
         EXPECT_EQ(records.decide(3, start + 2s), decision::run_isolated);
     }
 
-    // Guards against a new crashing request that hides behind an innocent suspect.
+    // Guards against a crashing request that stays undetected because an innocent suspect was in flight as well.
     TEST(Quarantine, OthersInFlightBesideASuspectStaySuspected)
     {
         quarantine records;
-        records.crashed("crash 1", { 7 }, start);
+        records.recordCrash("crash 1", { 7 }, start);
         EXPECT_EQ(records.decide(7, start), decision::run_isolated);
-        records.crashed("crash 2", { 7, poison }, start);
+        records.recordCrash("crash 2", { 7, poison }, start);
         EXPECT_EQ(records.decide(poison, start), decision::run_isolated);
-        records.crashed("crash 3", { poison }, start);
+        records.recordCrash("crash 3", { poison }, start);
         EXPECT_EQ(records.decide(poison, start), decision::refuse);
     }
 
-    // Guards against strikes that count twice or depend on the order in which nodes hear of them.
+    // Guards against attributions that are applied twice or whose result depends on the order of arrival.
     RC_GTEST_PROP(Quarantine, MergeIsIdempotentAndCommutative, ())
     {
         quarantine source;
-        std::vector<crash_strike> strikes;
+        std::vector<crash_strike> attributions;
         for (int crash = 0; crash < 5; ++crash) {
             const auto inFlight
                 = *rc::gen::container<std::vector<request_fingerprint>>(rc::gen::inRange<std::uint64_t>(1, 9));
             const auto now = start + *rc::gen::inRange(0, 2000) * 1s;
-            const auto added = source.crashed("crash " + std::to_string(crash), inFlight, now);
-            strikes.insert(strikes.end(), added.begin(), added.end());
+            const auto added = source.recordCrash("crash " + std::to_string(crash), inFlight, now);
+            attributions.insert(attributions.end(), added.begin(), added.end());
         }
         quarantine other;
         for (int round = 0; round < 2; ++round) {
-            std::reverse(strikes.begin(), strikes.end());
-            for (const auto& strike : strikes)
-                other.merge({ strike });
+            std::reverse(attributions.begin(), attributions.end());
+            for (const auto& attribution : attributions)
+                other.merge({ attribution });
         }
         const auto now = start + 2000s;
         for (request_fingerprint fingerprint = 1; fingerprint < 9; ++fingerprint) {
@@ -139,14 +139,14 @@
         }
     }
 
-    // Guards against an old strike that comes back from another node after the request was cleared.
-    TEST(Quarantine, LateCopyOfAStrikeDoesNotBringSuspicionBack)
+    // Guards against renewed suspicion when another node resends an old attribution after the request was cleared.
+    TEST(Quarantine, LateDuplicateAttributionDoesNotRestoreSuspicion)
     {
         quarantine records;
-        const auto strikes = records.crashed("crash", { 1 }, start);
+        const auto attributions = records.recordCrash("crash", { 1 }, start);
         EXPECT_EQ(records.decide(1, start), decision::run_isolated);
-        records.finished(1, true, start);
-        records.merge(strikes);
+        records.finishIsolatedRun(1, true, start);
+        records.merge(attributions);
         EXPECT_EQ(records.decide(1, start), decision::run);
     }
 
@@ -154,11 +154,11 @@
     TEST(Quarantine, MemoryIsBounded)
     {
         quarantine_settings settings;
-        settings.mostFingerprints = 50;
-        settings.mostStrikes = 100;
+        settings.maxFingerprints = 50;
+        settings.maxAttributions = 100;
         quarantine records(settings);
         for (int crash = 0; crash < 100; ++crash)
-            records.crashed("crash " + std::to_string(crash), others(20 + crash), start + crash * 1s);
+            records.recordCrash("crash " + std::to_string(crash), others(20 + crash), start + crash * 1s);
         EXPECT_EQ(records.size(), 50u);
     }
 
--- a/src/admission/tests/retry_test.cpp
+++ b/src/admission/tests/retry_test.cpp
@@ -26,7 +26,7 @@
         EXPECT_NEAR(retries, 1011, 2);
     }
 
-    // Guards against a caller with little traffic that may never retry, and against a budget saved up without bound.
+    // Guards against a caller with little traffic that may never retry, and against an unbounded budget.
     TEST(RetryBudget, HasAFloorAndABound)
     {
         retry_budget budget(start, { .share = 0.1, .floorPerSecond = 2, .most = 5 });
@@ -65,7 +65,7 @@
         RC_ASSERT(*next <= start + backoffWindow(failures, {}));
     }
 
-    // Guards against a change of the jitter that nobody intended: the sequence of a seed is fixed.
+    // Guards against unintended changes of the jitter: the sequence of a seed must be reproducible.
     TEST(RetryBackoff, RepeatsTheSequenceOfASeed)
     {
         const auto random = seededRandom(seed);
@@ -86,25 +86,25 @@
         struct {
             int slots;
             int longSlots;
-            int most;
+            int maxConnections;
             connection_counts targets;
         } const cases[] = { { 12, 6, 130, { 14, 8 } }, { 17, 8, 90, { 19, 10 } }, { 17, 8, 20, { 14, 6 } },
             { 100, 50, 90, { 60, 30 } }, { 12, 1, 3, { 2, 1 } } };
         for (const auto& entry : cases) {
             connection_plan_settings settings;
-            settings.most = entry.most;
-            EXPECT_EQ(connectionTargets(entry.slots, entry.longSlots, settings), entry.targets) << entry.most;
+            settings.maxConnections = entry.maxConnections;
+            EXPECT_EQ(connectionTargets(entry.slots, entry.longSlots, settings), entry.targets) << entry.maxConnections;
         }
     }
 
-    // Guards against a storm of connections at the start and after a loss of all of them.
+    // Guards against opening all connections at once, at the start and after all of them were lost.
     TEST(ConnectionPlan, OpensAtABoundedRateUpToTheTargets)
     {
         connection_plan plan({ 14, 8 }, seededRandom(seed));
         connection_counts open;
         int opened = 0;
         for (auto now = start; now < start + 2s; now += 1ms) {
-            const auto due = plan.due(open, {}, now);
+            const auto due = plan.connectionsToOpen(open, {}, now);
             opened += due.forShort + due.forLong;
             open = { open.forShort + due.forShort, open.forLong + due.forLong };
             for (int count = 0; count < due.forShort + due.forLong; ++count)
@@ -114,12 +114,12 @@
             ASSERT_LE(due.forShort + due.forLong, 4);
         }
         EXPECT_EQ(open, (connection_counts { 14, 8 }));
-        const auto again = plan.due({}, {}, start + 1h);
+        const auto again = plan.connectionsToOpen({}, {}, start + 1h);
         EXPECT_LE(again.forShort + again.forLong, 4);
-        EXPECT_EQ(plan.due({}, { 3, 1 }, start + 1h), connection_counts {});
+        EXPECT_EQ(plan.connectionsToOpen({}, { 3, 1 }, start + 1h), connection_counts {});
     }
 
-    // Guards against a server that is down and gets a stream of connection attempts from every node at the same time.
+    // Guards against a server that is down and gets frequent, synchronized connection attempts from all nodes.
     TEST(ConnectionPlan, BacksOffWithJitterWhileTheServerIsDown)
     {
         for (const std::uint64_t planSeed : { seed, seed + 1 }) {
@@ -127,7 +127,7 @@
             int attempts = 0;
             time_point last = time_point::min();
             for (auto now = start; now < start + 60s; now += 1ms) {
-                const auto due = plan.due({}, {}, now);
+                const auto due = plan.connectionsToOpen({}, {}, now);
                 const int count = due.forShort + due.forLong;
                 attempts += count;
                 if (count == 0)
@@ -144,7 +144,7 @@
             EXPECT_GE(attempts, 4 + 12);
             EXPECT_LE(attempts, 4 + 30);
             plan.onOpened();
-            const auto due = plan.due({}, {}, plan.nextAt() + 1s);
+            const auto due = plan.connectionsToOpen({}, {}, plan.nextAt() + 1s);
             EXPECT_EQ(due.forShort + due.forLong, 4);
         }
     }
--- a/src/admission/ageing_quantiles.h
+++ b/src/admission/windowed_quantiles.h
@@ -20,10 +20,10 @@
     bool operator==(const service_quantiles&) const = default;
 };
 
-/// Quantiles over the last one to two windows, in constant memory. A window ends after 1024 values or 10 s.
-class ageing_quantiles {
+/// Quantiles over the current and the previous window, in constant memory. A window ends after 1024 values or 10 s.
+class windowed_quantiles {
 public:
-    ageing_quantiles();
+    windowed_quantiles();
 
     void add(duration, time_point now);
     /// Empty with fewer than 16 values in the two windows, or if the newest value is more than 10 minutes old.
@@ -33,7 +33,7 @@
     using accumulator = boost::accumulators::accumulator_set<double,
         boost::accumulators::stats<boost::accumulators::tag::extended_p_square, boost::accumulators::tag::mean>>;
 
-    static accumulator emptyAccumulator();
+    static accumulator makeAccumulator();
     static service_quantiles quantilesOf(const accumulator&);
 
     accumulator m_current;
