--- a/src/admission/admission_queue.h
+++ b/src/admission/admission_queue.h
@@ -103,8 +103,7 @@
     std::unique_ptr<waiting_calls> m_waiting;
     workspace_fairness m_fairness;
     std::unordered_map<std::uint64_t, running_call> m_running;
-    std::set<std::pair<time_point, std::uint64_t>>
-        m_shortEnds; // Time at which each running short call is counted as long.
+    std::set<std::pair<time_point, std::uint64_t>> m_shortEnds; // When each running short call is counted as long.
     int m_runningLong = 0;
     call_length m_lastStarted = call_length::long_call;
     demand_meter m_admitted;
--- a/src/admission/benchmarks/demand_swing.cpp
+++ b/src/admission/benchmarks/demand_swing.cpp
@@ -68,7 +68,7 @@
         std::array<double, 3> goodput {}; ///< At the peak, per priority, as a share of min(offered, capacity).
         double top = 0; ///< Worst window of priority 9.
         double all = 0; ///< Mean of all priorities at the peak, as a share of capacity.
-        double allWorst = 0; ///< Worst window from the start of the swing on.
+        double allWorst = 0; ///< Worst window from the start of the load peak to its end.
         double recovery = 0; ///< See recoveryTime().
         double failedAfterWaiting = 0; ///< Share of the failed calls that were queued before they failed.
         double late = 0; ///< Share of the capacity at the peak spent on calls that ended late.
@@ -137,8 +137,8 @@
         return recovery;
     }
 
-    // Work that can be done of a part of the load in a window, in slot seconds. While the load passes the capacity
-    // within the window, this is less than the smaller one of the two totals.
+    // Upper bound of the work done for a part of the load in a window, in slot seconds. If the load crosses the
+    // capacity within the window, this is less than the minimum of offered work and capacity over the window.
     double possibleWork(std::size_t index, double part)
     {
         constexpr duration step = 10ms;
--- a/src/admission/benchmarks/retry_storm.cpp
+++ b/src/admission/benchmarks/retry_storm.cpp
@@ -68,7 +68,7 @@
 
     struct figures {
         double peak = 0; ///< Goodput during the peak, as a share of capacity.
-        double after = 0; ///< Good share of the calls first sent after the peak, with their retries.
+        double after = 0; ///< Calls sent after the peak, including retries, that ended in time, per first attempt.
         double attempts = 0; ///< Attempts per call.
         double recovery = 0; ///< Seconds after the peak until the last first attempt that failed; negative if none did.
     };
--- a/src/admission/benchmarks/server_choice.cpp
+++ b/src/admission/benchmarks/server_choice.cpp
@@ -60,8 +60,8 @@
 
     class server_model {
     public:
-        /// Returns the calls that start.
         void enter(std::uint64_t id) { m_waiting.push_back(id); }
+        /// Starts the next waiting call if a slot is free and returns its id.
         std::optional<std::uint64_t> start()
         {
             if (m_running >= slots || m_waiting.empty())
--- a/src/admission/benchmarks/simulation.h
+++ b/src/admission/benchmarks/simulation.h
@@ -45,13 +45,13 @@
     admission_level level;
     std::vector<std::string> workspaces { "a" };
     std::vector<duration> timeouts { std::chrono::seconds(5) };
-    std::function<double(time_point)> slotsOffered; ///< Work that arrives, in slots.
-    double maxSlotsOffered = 0; ///< Upper bound of it.
+    std::function<double(time_point)> slotsOffered; ///< Offered load, in slots.
+    double maxSlotsOffered = 0; ///< Upper bound of slotsOffered.
     duration meanService {};
     std::function<duration(const random_function&)> service;
 };
 
-/// Log-normal with the mean and the standard deviation of its logarithm.
+/// Log-normal distribution with this mean; sigma is the standard deviation of the logarithm.
 std::function<duration(const random_function&)> logNormal(duration mean, double sigma);
 std::function<duration(const random_function&)> uniform(duration min, duration max);
 
@@ -72,11 +72,11 @@
 /// Runs the calls on one server.
 run_log run(scheduler&, std::vector<call>, const retry_rule& = {});
 
-/// The value below which the share of the sorted values lies; 0 without values.
+/// Quantile of the sorted values; 0 without values.
 double quantile(const std::vector<double>& sorted, double share);
 double median(std::vector<double>);
 
-/// Median over several runs of a figure.
+/// Median of a figure over several runs.
 template <typename Figures, typename Get> double medianOf(const std::vector<Figures>& runs, Get get)
 {
     std::vector<double> values;
--- a/src/admission/benchmarks/workspace_competition.cpp
+++ b/src/admission/benchmarks/workspace_competition.cpp
@@ -17,7 +17,7 @@
     constexpr duration longMean = 550 * shortMean;
     constexpr time_point runEnd { 30s };
 
-    // Customer "big" offers twice the capacity of its class, "small" and "tiny" a part of their fair shares.
+    // Workspace "big" offers twice the capacity of its class, "small" and "tiny" a part of their fair shares.
     std::vector<call> callsFor(call_length length, double classSlots, std::uint64_t seed)
     {
         const bool isLong = length == call_length::long_call;
--- a/src/admission/internal/connection_plan.cpp
+++ b/src/admission/internal/connection_plan.cpp
@@ -8,14 +8,14 @@
 
 connection_counts connectionTargets(int slots, int longSlots, const connection_plan_settings& settings)
 {
-    connection_counts wanted { slots + settings.spare, longSlots + settings.spare };
-    const int total = wanted.forShort + wanted.forLong;
+    connection_counts targets { slots + settings.spare, longSlots + settings.spare };
+    const int total = targets.forShort + targets.forLong;
     if (total <= settings.maxConnections)
-        return wanted;
+        return targets;
     // Scales both classes down in proportion; each class needs at least one connection to be separate from the other.
-    wanted.forLong = std::max(1, settings.maxConnections * wanted.forLong / total);
-    wanted.forShort = std::max(1, settings.maxConnections - wanted.forLong);
-    return wanted;
+    targets.forLong = std::max(1, settings.maxConnections * targets.forLong / total);
+    targets.forShort = std::max(1, settings.maxConnections - targets.forLong);
+    return targets;
 }
 
 connection_plan::connection_plan(
--- a/src/admission/internal/load_view.cpp
+++ b/src/admission/internal/load_view.cpp
@@ -166,8 +166,8 @@
         return false;
     if (2 * m_unhealthyReports >= m_servers.size())
         return false;
-    const bool answersItself = one.failures.weight(now) >= contradictingCalls && one.failures.value(0, now) < 0.5;
-    return !answersItself;
+    const bool isObservedHealthy = one.failures.weight(now) >= contradictingCalls && one.failures.value(0, now) < 0.5;
+    return !isObservedHealthy;
 }
 
 double load_view::reportedLoad(const server& one, time_point now) const
@@ -175,8 +175,8 @@
     if (!one.lastReport || now - one.lastReport->at > m_settings.maxReportAge)
         return 0;
     const double load = std::clamp(one.lastReport->load, 0.0, 1.0);
-    const bool refuses = one.refusals.value(0, now) > 0.1;
-    if (refuses)
+    const bool isRefusing = one.refusals.value(0, now) > 0.1;
+    if (isRefusing)
         return 1; // Ignores the reported load.
     const double poolLatency = m_poolLatency.value(priorLatency, now);
     const bool isFast
--- a/src/admission/internal/quarantine.cpp
+++ b/src/admission/internal/quarantine.cpp
@@ -20,8 +20,8 @@
     if (suspicion(fingerprint, now) < m_settings.minSuspicion)
         return quarantine_decision::run;
     // The same content may be sent many times concurrently; one run clears all copies.
-    const bool isTaken = !m_isolated.empty() && now < m_isolatedUntil;
-    if (isTaken || m_isolated.contains(fingerprint))
+    const bool isAnotherIsolated = !m_isolated.empty() && now < m_isolatedUntil;
+    if (isAnotherIsolated || m_isolated.contains(fingerprint))
         return quarantine_decision::wait;
     m_isolated.insert(fingerprint);
     m_isolatedUntil = now + m_settings.isolationPeriod;
--- a/src/admission/internal/waiting_calls.h
+++ b/src/admission/internal/waiting_calls.h
@@ -16,7 +16,7 @@
 struct waiting_call {
     admission_request request;
     time_point enqueuedAt {};
-    time_point expiresAt {}; ///< Last time at which it may still start.
+    time_point expiresAt {}; ///< Latest time at which the call may start.
 
     std::uint64_t id() const { return request.id; }
     std::size_t level() const { return request.level.index(); }
--- a/src/admission/load_view.h
+++ b/src/admission/load_view.h
@@ -37,8 +37,7 @@
 /// Settings of load_view; see docs/admission.md.
 struct load_view_settings {
     std::string zone; ///< Availability zone of this node.
-    double zoneTolerance = 1.5; ///< A server in the local zone is preferred while its cost is at most this factor times
-                                ///< that of the other candidate.
+    double zoneTolerance = 1.5; ///< Cost factor up to which a server in the local zone is preferred.
     duration memory = std::chrono::seconds(5); ///< Time constant of the decay of local observations.
     duration maxReportAge = std::chrono::seconds(3); ///< Older reports are ignored.
     slow_start_settings slowStart {};
--- a/src/admission/outlier_detector.h
+++ b/src/admission/outlier_detector.h
@@ -13,12 +13,11 @@
     double failureShare = 0.5; ///< or when this share of its calls failed,
     double minCalls = 10; ///< counted over at least this many calls
     duration window = std::chrono::seconds(5); ///< with this time constant.
-    double maxEjectedShare
-        = 0.34; ///< Maximum share of all servers that is out of service; at least one server of two or more.
+    double maxEjectedShare = 0.34; ///< Of all servers; one of two or more may always be ejected.
     duration firstEjection = std::chrono::seconds(5); ///< Doubles with each further ejection,
     duration mostEjection = std::chrono::minutes(5); ///< up to this time.
     duration ejectionResetAfter
-        = std::chrono::minutes(10); ///< Time in service after which earlier ejections no longer count.
+        = std::chrono::minutes(10); ///< Time in service after which the count of ejections is reset.
     int probes = 3; ///< Consecutive successful probes before a server returns to service.
     duration probeInterval = std::chrono::milliseconds(500);
 
@@ -28,7 +27,7 @@
 enum class server_condition {
     in_service,
     ejected, ///< Gets no calls.
-    probing, ///< Gets single calls; see isProbeDue().
+    probing, ///< Gets single calls as probes; see isProbeDue().
 };
 
 /// Ejects failing servers and returns them to service after successful probes. Results of calls that started before an
--- a/src/admission/quarantine.h
+++ b/src/admission/quarantine.h
@@ -26,13 +26,11 @@
 struct quarantine_settings {
     double refusalThreshold = 0.9; ///< A fingerprint is refused when the weights of its attributions add up to this.
     double crashWeight = 0.6; ///< Weight of a crash; divided evenly if several fingerprints were in flight.
-    double isolatedCrashWeight
-        = 1; ///< Weight of a crash for an isolated suspect; divided evenly if several suspects were in flight.
+    double isolatedCrashWeight = 1; ///< Weight for an isolated suspect; divided evenly among several.
     double minSuspicion = 0.01; ///< A fingerprint below this weight is no longer a suspect.
     duration decayTimeConstant = std::chrono::minutes(10); ///< Time constant of the decay of attributions.
     duration refusalPeriod = std::chrono::minutes(10);
-    duration isolationPeriod
-        = std::chrono::seconds(2); ///< The next suspect may start once one has run for this long without a crash.
+    duration isolationPeriod = std::chrono::seconds(2); ///< After this time the next suspect may start.
     std::size_t maxFingerprints = 4096;
     std::size_t maxAttributions = 16384; ///< Attribution ids kept, so that each attribution is applied once.
 
@@ -58,7 +56,7 @@
     failure refusal() const;
     /// A request that ran isolated ended. If the backend server answered, the request is cleared.
     void finishIsolatedRun(request_fingerprint, bool answered, time_point now);
-    /// When the next suspect may start even if the current one still runs.
+    /// Time from which the next suspect may start even if the current one is still running.
     time_point nextIsolationAt() const;
 
     /// Records a crash of the backend server with these requests in flight. The id names the crash, for example by
--- a/src/admission/request_classifier.h
+++ b/src/admission/request_classifier.h
@@ -12,8 +12,7 @@
 struct classifier_settings {
     duration shortLimit = std::chrono::milliseconds(50); ///< Calls of this duration or more are long.
     double longThreshold = 0.1; ///< A short kind becomes long when at least this share of its calls is long,
-    double shortThreshold
-        = 0.02; ///< and a long one becomes short when less than this share takes half of shortLimit or more,
+    double shortThreshold = 0.02; ///< a long kind becomes short below this share of calls above half of shortLimit,
     duration confirmationTime = std::chrono::seconds(1); ///< in both cases only if the share stays there for this time.
     int window = 32; ///< Number of calls over which the share is averaged.
     std::size_t maxKinds = 1024; ///< Maximum number of kinds kept; the least recently observed one is evicted.
--- a/src/admission/retry_backoff.h
+++ b/src/admission/retry_backoff.h
@@ -10,7 +10,7 @@
 /// Settings of exponential backoff.
 struct backoff_settings {
     duration initialWindow
-        = std::chrono::milliseconds(10); ///< Maximum delay after the first failure; doubles with each further failure.
+        = std::chrono::milliseconds(10); ///< Maximum delay after the first failure; doubles each time.
     duration maxWindow = std::chrono::seconds(1); ///< Upper bound of the maximum delay.
 
     bool operator==(const backoff_settings&) const = default;
--- a/src/admission/tests/admission_parts_test.cpp
+++ b/src/admission/tests/admission_parts_test.cpp
@@ -20,8 +20,8 @@
     constexpr time_point start { 100s };
     constexpr admission_level level { call_length::short_call, 5 };
 
-    // Guards against an overflow when a rate of nearly zero is turned into a time.
-    TEST(Seconds, AreCutToAYear)
+    // Guards against an overflow when the reciprocal of a nearly zero rate is converted to a duration.
+    TEST(Seconds, AreClampedToAYear)
     {
         EXPECT_EQ(fromSeconds(0.0015), duration(1500us));
         EXPECT_EQ(fromSeconds(1e300), duration(365 * 24h));
@@ -41,7 +41,7 @@
         RC_ASSERT(std::abs(forwards.value(start) - backwards.value(start)) < 1e-9);
     }
 
-    // Guards against an average that keeps an old value for ever.
+    // Guards against an average that never returns to the prior value.
     TEST(DecayingAverage, ReturnsToThePriorValue)
     {
         decaying_average average(1s);
@@ -52,7 +52,7 @@
         EXPECT_NEAR(average.value(7, start + 20s), 7, 0.001);
     }
 
-    // Guards against a demand that misses a level or counts the own priority as higher.
+    // Guards against a demand that misses a level or includes the priority itself in the demand above it.
     TEST(DemandMeter, MeasuresWorkInSlots)
     {
         demand_meter meter(1s);
@@ -69,7 +69,7 @@
         EXPECT_EQ(meter.demandAbove({ call_length::short_call, 9 }, end), 0);
     }
 
-    // Guards against an estimate that ignores overtaking or divides by a share of zero.
+    // Guards against an estimate that ignores higher priorities or divides by a share of zero.
     TEST(ExpectedWait, GrowsWithTheWorkAheadAndTheDemandAbove)
     {
         struct {
--- a/src/admission/tests/admission_queue_property_test.cpp
+++ b/src/admission/tests/admission_queue_property_test.cpp
@@ -10,7 +10,7 @@
 
     using namespace std::chrono_literals;
 
-    // Drives a queue with random operations and compares each action with a plain model of what waits and what runs.
+    // Runs random operations on a queue and checks each action against a simple model of the waiting and running calls.
     class queue_model {
     public:
         queue_model(int slots, double shortShare, std::size_t maxCalls)
--- a/src/admission/tests/admission_queue_test.cpp
+++ b/src/admission/tests/admission_queue_test.cpp
@@ -39,7 +39,7 @@
 
     // Guards against long calls that take the slots reserved for short ones, and against a reserve that leaves long
     // calls without any slot.
-    TEST(AdmissionQueue, LongCallsLeaveTheReservedSlots)
+    TEST(AdmissionQueue, LongCallsDoNotUseReservedSlots)
     {
         struct {
             int slots;
@@ -68,7 +68,7 @@
     }
 
     // Guards against one class that starves the other when there is a single slot.
-    TEST(AdmissionQueue, ClassesTakeTurnsOnASingleSlot)
+    TEST(AdmissionQueue, ClassesAlternateOnASingleSlot)
     {
         admission_queue queue(smallSettings(1));
         queue.submit(request(1, shortLevel), start);
@@ -86,7 +86,7 @@
     }
 
     // Guards against queueing calls that cannot meet their deadline, and against refusing calls that can.
-    TEST(AdmissionQueue, RefusesAtOnceWhatCannotFinishInTime)
+    TEST(AdmissionQueue, RefusesCallsThatCannotMeetTheirDeadline)
     {
         struct {
             const char* name;
@@ -168,8 +168,8 @@
         EXPECT_EQ(actions.front().reason->code, error_code::deadline_exceeded);
     }
 
-    // Guards against a call with a distant deadline that waits without end behind higher priorities.
-    TEST(AdmissionQueue, NoCallStaysLongerThanTheBound)
+    // Guards against a call with a distant deadline that waits indefinitely behind higher priorities.
+    TEST(AdmissionQueue, CallsExpireAfterTheMaximumTimeInQueue)
     {
         admission_queue queue(smallSettings(1));
         queue.submit(request(1, shortLevel), start);
@@ -180,7 +180,7 @@
     }
 
     // Guards against calls classified as short that hold their slots for long and are not counted as long calls.
-    TEST(AdmissionQueue, ShortCallsThatOutlastTheLimitCountAsLong)
+    TEST(AdmissionQueue, ShortCallsAboveTheLimitCountAsLong)
     {
         ids counted;
         admission_hooks hooks;
@@ -200,7 +200,7 @@
     }
 
     // Guards against starting calls above a lowered limit, and against a raised limit that is not used.
-    TEST(AdmissionQueue, ChangedLimitCountsForTheNextCalls)
+    TEST(AdmissionQueue, ChangedSlotsApplyToTheNextCalls)
     {
         admission_queue queue(smallSettings(3));
         for (std::uint64_t id = 1; id <= 5; ++id)
--- a/src/admission/tests/backend_admission_test.cpp
+++ b/src/admission/tests/backend_admission_test.cpp
@@ -143,8 +143,8 @@
         EXPECT_EQ(refusalOf(admission.submit(call(1, 7), start), 1), error_code::quarantined);
     }
 
-    // Guards against a limit that is not applied to the queue, or applied although it was not asked for.
-    TEST(BackendAdmission, AdaptsTheLimitOnlyIfAsked)
+    // Guards against a limit that is not applied to the queue, or that is applied although adaptsLimit is off.
+    TEST(BackendAdmission, AdaptsTheLimitOnlyIfEnabled)
     {
         for (const bool adapts : { false, true }) {
             auto chosen = settings(12);
--- a/src/admission/tests/learning_test.cpp
+++ b/src/admission/tests/learning_test.cpp
@@ -58,7 +58,7 @@
         }
     }
 
-    // Guards against a kind between the thresholds that changes its class again and again.
+    // Guards against a kind between the thresholds whose class oscillates.
     TEST(RequestClassifier, KeepsTheCorrectedClassBetweenTheThresholds)
     {
         request_classifier classifier;
@@ -99,7 +99,7 @@
     }
 
     // Guards against an estimate that never discards times from before a change, and against one without any data.
-    TEST(ServiceTimeEstimate, AgesAndFallsBack)
+    TEST(ServiceTimeEstimate, DiscardsOldValuesAndFallsBack)
     {
         service_time_estimate estimate;
         const service_time_defaults defaults;
@@ -120,7 +120,7 @@
     }
 
     // Guards against an estimate that stays low because calls that run too long are cancelled and never counted.
-    TEST(ServiceTimeEstimate, CancelledCallsRaiseItOnly)
+    TEST(ServiceTimeEstimate, CancelledCallsOnlyRaiseIt)
     {
         service_time_estimate estimate;
         for (int count = 0; count < 100; ++count)
--- a/src/admission/tests/load_view_test.cpp
+++ b/src/admission/tests/load_view_test.cpp
@@ -63,7 +63,7 @@
     };
 
     // Guards against local observations that do not affect the choice.
-    TEST(LoadView, PrefersServersThatAreBetterByOwnObservation)
+    TEST(LoadView, PrefersServersByLocalObservation)
     {
         struct {
             const char* name;
@@ -103,7 +103,7 @@
     }
 
     // Guards against using reports that are outdated, contradicted by local calls, or negative for most servers.
-    TEST(LoadView, ReportsCountLessThanOwnObservation)
+    TEST(LoadView, LocalObservationOverridesReports)
     {
         struct {
             const char* name;
@@ -146,7 +146,7 @@
     }
 
     // Guards against unnecessary cross-zone traffic, and against overloading the local zone to avoid it.
-    TEST(LoadView, PrefersTheOwnZoneOnlyWhileItsLoadAllows)
+    TEST(LoadView, PrefersTheLocalZoneUnlessItIsOverloaded)
     {
         view_driver driver(4, "z1", { "z1", "z2" });
         for (const auto* id : { "a", "b", "c", "d" })
@@ -173,7 +173,7 @@
         EXPECT_GT(driver.shares()["cold"], 0.2);
     }
 
-    // Guards against picks of excluded, failed or unknown servers.
+    // Guards against picking excluded, failed or unknown servers.
     TEST(LoadView, RespectsExclusionsAndRemovals)
     {
         view_driver driver(2);
@@ -211,7 +211,7 @@
         EXPECT_GT(driver.shares()["a"], 0.2);
     }
 
-    // Guards against ejection of so many servers that the rest is overloaded.
+    // Guards against ejecting so many servers that the remaining ones are overloaded.
     TEST(OutlierDetector, EjectsABoundedShare)
     {
         for (const auto& [servers, ejected] :
@@ -230,7 +230,8 @@
         }
     }
 
-    // Guards against ejection for single failures, and against a server that fails every second call unnoticed.
+    // Guards against ejection for single failures, and against a server that fails every second call and is not
+    // ejected.
     TEST(OutlierDetector, EjectsByShareOfFailures)
     {
         for (const auto& [failEvery, isEjected] : std::map<int, bool> { { 2, true }, { 3, false }, { 10, false } }) {
--- a/src/admission/tests/retry_test.cpp
+++ b/src/admission/tests/retry_test.cpp
@@ -27,7 +27,7 @@
     }
 
     // Guards against a caller with little traffic that may never retry, and against an unbounded budget.
-    TEST(RetryBudget, HasAFloorAndABound)
+    TEST(RetryBudget, HasAFloorAndACapacity)
     {
         retry_budget budget(start, { .share = 0.1, .floorPerSecond = 2, .most = 5 });
         EXPECT_TRUE(budget.tryRetry(start));
