--- a/src/admission/tests/load_view_test.cpp
+++ b/src/admission/tests/load_view_test.cpp
@@ -62,13 +62,13 @@
         time_point m_now = start;
     };
 
-    // Guards against own observations that do not change the choice.
-    TEST(LoadView, PrefersServersThatAreBetterByOwnObservation)
+    // Guards against local observations that do not affect the choice.
+    TEST(LoadView, PrefersServersByLocalObservation)
     {
         struct {
             const char* name;
             std::function<void(view_driver&)> worsen; // Of server a.
-            double mostShare;
+            double maxShare;
         } const cases[] = {
             { "equal", [](view_driver&) {}, 0.45 },
             { "calls in flight",
@@ -98,12 +98,12 @@
             for (const auto* id : { "a", "b", "c" })
                 driver.warmUp(id);
             entry.worsen(driver);
-            EXPECT_LE(driver.shares()["a"], entry.mostShare) << entry.name;
+            EXPECT_LE(driver.shares()["a"], entry.maxShare) << entry.name;
         }
     }
 
-    // Guards against trust in reports that are old, contradicted by own calls, or bad for most servers.
-    TEST(LoadView, ReportsCountLessThanOwnObservation)
+    // Guards against using reports that are outdated, contradicted by local calls, or negative for most servers.
+    TEST(LoadView, LocalObservationOverridesReports)
     {
         struct {
             const char* name;
@@ -145,8 +145,8 @@
         EXPECT_GT(driver.view().cost("a", start), driver.view().cost("b", start));
     }
 
-    // Guards against traffic across zones without need, and against a zone that is overloaded for its sake.
-    TEST(LoadView, PrefersTheOwnZoneOnlyWhileItsLoadAllows)
+    // Guards against unnecessary cross-zone traffic, and against overloading the local zone to avoid it.
+    TEST(LoadView, PrefersTheLocalZoneUnlessItIsOverloaded)
     {
         view_driver driver(4, "z1", { "z1", "z2" });
         for (const auto* id : { "a", "b", "c", "d" })
@@ -173,7 +173,7 @@
         EXPECT_GT(driver.shares()["cold"], 0.2);
     }
 
-    // Guards against picks of excluded, failed or unknown servers.
+    // Guards against picking excluded, failed or unknown servers.
     TEST(LoadView, RespectsExclusionsAndRemovals)
     {
         view_driver driver(2);
@@ -186,7 +186,7 @@
         EXPECT_EQ(driver.view().pick({}, start), std::nullopt);
     }
 
-    // Guards against calls to a broken server, a probe without permission, and a return to full load at once.
+    // Guards against calls to an ejected server, probes by calls that may not probe, and return to full load at once.
     TEST(LoadView, EjectsProbesAndReadmitsWithASlowStart)
     {
         view_driver driver(3);
@@ -211,7 +211,7 @@
         EXPECT_GT(driver.shares()["a"], 0.2);
     }
 
-    // Guards against ejection of so many servers that the rest is overloaded.
+    // Guards against ejecting so many servers that the remaining ones are overloaded.
     TEST(OutlierDetector, EjectsABoundedShare)
     {
         for (const auto& [servers, ejected] :
@@ -230,7 +230,8 @@
         }
     }
 
-    // Guards against ejection for single failures, and against a server that fails every second call unnoticed.
+    // Guards against ejection for single failures, and against a server that fails every second call and is not
+    // ejected.
     TEST(OutlierDetector, EjectsByShareOfFailures)
     {
         for (const auto& [failEvery, isEjected] : std::map<int, bool> { { 2, true }, { 3, false }, { 10, false } }) {
@@ -266,7 +267,7 @@
         EXPECT_LE(ejections, 20);
     }
 
-    // Guards against a failed probe that lets a broken server back in.
+    // Guards against a failed probe that returns a broken server to service.
     TEST(OutlierDetector, FailedProbeEjectsAgain)
     {
         outlier_detector detector;
