--- a/src/routing/answer_relay.h
+++ b/src/routing/answer_relay.h
@@ -7,18 +7,18 @@
 
 namespace heatherdrift {
 
-/// Passes the answer of a running call on to a client. At most `bufferLimit` bytes wait for a slow client; above that
-/// the call is paused, so that the sender is slowed down as well.
+/// Forwards the response of a running call to a client. When `bufferLimit` bytes are buffered for a slow client, the
+/// call is paused, so that backpressure reaches the sender.
 class answer_relay : public std::enable_shared_from_this<answer_relay> {
 public:
     answer_relay(http_exchange_ptr, std::size_t bufferLimit);
 
-    /// The call whose answer is passed on; it is paused and resumed.
+    /// Sets the call whose response is forwarded; the relay pauses and resumes it.
     void setSource(http_call_ptr);
     void start(const http_response_head&);
     void sendData(std::string_view);
     void finish();
-    /// The client sees an incomplete answer.
+    /// Ends the exchange so that the client sees an incomplete response.
     void abort();
 
     bool hasStarted() const { return m_hasStarted; }
--- a/src/routing/backend_link.h
+++ b/src/routing/backend_link.h
@@ -9,17 +9,17 @@
 
 namespace heatherdrift {
 
-/// What the backend server beside this process announced.
+/// Announcement of this instance's backend server.
 struct backend_description {
     endpoint address;
     label_set labels;
-    int slots = 0; ///< 0: the pool's configuration decides.
+    int slots = 0; ///< 0 to use the number in the pool's configuration.
     bool checksGrants = false;
 
     bool operator==(const backend_description&) const = default;
 };
 
-/// Connections to the backend server beside this process. Short and long calls have their own, so that a short call
+/// Connections to this instance's backend server. Short and long calls use separate connections, so that a short call
 /// never waits for a connection behind a long one.
 class backend_link {
 public:
--- a/src/routing/call.h
+++ b/src/routing/call.h
@@ -27,12 +27,12 @@
     constexpr const char* traceparent = "traceparent";
 }
 
-/// A caller's request, checked, with the treatment that its selector gives it.
+/// A validated caller's request with the policy of the selector that matches its labels.
 struct call {
     std::string requestId;
     std::string key; ///< Empty if the call needs no ownership.
-    std::string customer;
-    std::string token; ///< Empty if the caller gave none.
+    std::string workspace;
+    std::string token; ///< Empty if the request has none.
     label_set labels;
     time_point deadline;
     trace_context trace;
@@ -44,22 +44,22 @@
     bool operator==(const call&) const = default;
 };
 
-/// Reads a caller's request. Fails with bad_request, no_selector or too_large, always not_run.
+/// Parses a caller's request. Fails with bad_request, no_selector or too_large; the verdict is always not_run.
 result<call> parseCall(const http_request&, std::string requestId, const configuration&, time_point now);
 
-/// Where a forwarded call must run, as the entry node saw it.
+/// Process that must run a forwarded call, according to the entry node's routing snapshot.
 struct call_target {
-    instance_ref owner; ///< The process that the call is meant for.
+    instance_ref owner;
 
     bool operator==(const call_target&) const = default;
 };
 
 /// The request to the owner's node: the caller's request with the call's headers.
 http_request toForwardedRequest(const call&, const call_target&, time_point now);
-/// Inverse at the owner's node.
+/// Inverse of toForwardedRequest(), used at the owner's node.
 result<std::pair<call, call_target>> parseForwardedCall(const http_request&, const configuration&, time_point now);
 
-/// What a backend server that checks grants is shown.
+/// Proof of ownership that is sent to a backend server that checks grants.
 struct backend_grant {
     std::string pool;
     partition_index partition = 0;
@@ -71,11 +71,11 @@
 
 http_request toBackendRequest(const call&, const std::optional<backend_grant>&, time_point now);
 
-/// The whole answer for a failed call; maps the error to an HTTP status.
+/// Complete response for a failed call, with the HTTP status that belongs to the error.
 http_response toFailureResponse(const failure&, const std::string& requestId);
 int statusOf(error_code);
 
-/// The failure that an answer of another node states, if it states one.
+/// Failure carried by the headers of another node's response, if any.
 std::optional<failure> parseFailure(const http_response_head&);
 
 /// Whether a failed call may be sent again, by its verdict and kind.
--- a/src/routing/call_executor.h
+++ b/src/routing/call_executor.h
@@ -26,26 +26,26 @@
     request_ledger_limits requests;
 };
 
-/// Ways out of the executor, each called on the request task.
+/// Callbacks of the executor, each called on the request task.
 struct executor_hooks {
     clock_function now;
-    /// Asks the process that issued a token for its claim.
+    /// Claims a token at the process that issued it.
     std::function<void(const once_token&, std::uint64_t fingerprint, const std::string& claimant, time_point deadline,
         std::function<void(result<claim_answer>)>)>
-        claimElsewhere;
+        claimAtIssuer;
     /// Inserts the row that allows the one run of a call. Success: inserted for this request id. Failures:
     /// `token_spent` (may_have_run) if the row exists, store_unavailable.
     std::function<void(
         const std::string& key, const std::string& requestId, time_point deadline, std::function<void(result<void>)>)>
         insertIntent;
-    /// The backend server closed or refused a connection: it is to be checked at once.
-    std::function<void()> backendFailed;
-    /// Strikes against the requests that were running when the backend server crashed.
-    std::function<void(std::vector<crash_strike>)> strikes;
+    /// The backend server closed or refused a connection and must be checked immediately.
+    std::function<void()> onBackendFailure;
+    /// Reports strikes against the requests that were running when the backend server crashed.
+    std::function<void(std::vector<crash_strike>)> onStrikes;
 };
 
-/// Runs calls at the backend server beside this process, after checking that this process may: it owns the key, its
-/// lease is valid, the call was not refused before and, for a once call, has not run. The checks are made again
+/// Runs calls at this instance's backend server, after checking that this process owns the key, its lease is valid, the
+/// call was not refused before and, for a once call, that it has not run. Ownership and lease are checked again
 /// immediately before the request is written to the backend server.
 class call_executor : public call_runner {
 public:
@@ -55,15 +55,15 @@
     http_call_ptr run(call, call_target, http_call_handlers) override;
 
     void setSnapshot(routing_snapshot_ptr);
-    /// Calls are started only before this time; calls that need ownership for their run are cancelled at it.
+    /// Calls are started only before this time; calls that need ownership for their whole run are cancelled at it.
     void setLeaseEnd(time_point);
-    /// Null while no backend server is known or it does not answer.
+    /// Replaces the connections to the backend server.
     void setBackend(std::unique_ptr<backend_link>, const backend_description&);
     void removeBackend();
 
-    /// Refuses new calls of the partition as `not_owner` and calls back when no call that needs ownership for its run
-    /// is left.
-    void stopPartition(const partition_id&, std::function<void()> onQuiet);
+    /// Refuses new calls of the partition as `not_owner` and calls back when no call that needs ownership for its
+    /// whole run is left.
+    void stopPartition(const partition_id&, std::function<void()> onIdle);
     void resumePartition(const partition_id&);
     /// Refuses all new calls as `draining`.
     void startDraining();
@@ -72,27 +72,27 @@
     result<claim_answer> claim(const once_token&, std::uint64_t fingerprint, const std::string& claimant);
 
     int callsInProgress() const { return static_cast<int>(m_calls.size()); }
-    /// A check of the backend server ended; `isCrashed` if it refused or lost the connection.
-    void backendChecked(bool isCrashed);
+    /// A health check ended; `isCrashed` if the backend server refused the connection or closed it.
+    void onBackendChecked(bool isCrashed);
     void mergeStrikes(const std::vector<crash_strike>&);
 
-    /// Starts nothing more, and cancels the calls that need ownership for their run.
+    /// Starts no more calls and cancels those that need ownership for their whole run.
     void stopServing();
-    /// Load since the last call.
+    /// Load since the previous call of this function.
     load_sample takeLoad();
 
 private:
     friend class executed_call;
 
-    /// The grant under which a call may start now, none if it needs no ownership, or why it may not.
+    /// Grant under which a call may start now, none if it needs no ownership. Fails if the call may not start.
     result<std::optional<backend_grant>> authorize(const call&, const call_target&) const;
     void submit(executed_call&);
     void apply(const admission_actions&);
-    void ended(executed_call&, std::optional<admission_end>);
+    void onCallEnded(executed_call&, std::optional<admission_end>);
     void advance();
     void scheduleAdvance();
-    void cancelWithoutLease();
-    void reportQuietPartitions();
+    void cancelOnLeaseEnd();
+    void notifyIdlePartitions();
     backend_admission_settings admissionSettings() const;
 
     event_base* m_base;
@@ -111,7 +111,7 @@
     bool m_isDraining = false;
     bool m_isStopped = false;
     std::uint64_t m_crashes = 0;
-    /// Calls whose connection was lost, until a check tells whether the backend server crashed.
+    /// Calls whose connection was lost, until a health check shows whether the backend server crashed.
     std::vector<std::uint64_t> m_lostCalls;
     load_meter m_load;
     timer m_advance;
--- a/src/routing/call_runner.h
+++ b/src/routing/call_runner.h
@@ -7,7 +7,7 @@
 
 /// Runs a call at the node of its target: the executor of this process, or another node.
 ///
-/// The handlers get either a head whose heatherdrift-verdict header tells how the call ended, or a failure.
+/// The handlers receive either a head whose heatherdrift-verdict header holds the call's outcome, or a failure.
 class call_runner {
 public:
     virtual ~call_runner() = default;
--- a/src/routing/entry_router.h
+++ b/src/routing/entry_router.h
@@ -19,39 +19,40 @@
 class entry_call;
 
 struct entry_limits {
-    std::size_t streamBufferBytes = 256 * 1024; ///< Per answer, waiting for a slow caller.
+    std::size_t streamBufferBytes = 256 * 1024; ///< Buffered per response for a slow caller.
     std::size_t calls = 5000; ///< In progress at once.
     int connectionsPerPeer = 256;
-    duration firstBackoff = std::chrono::milliseconds(20);
-    duration longestBackoff = std::chrono::milliseconds(500);
+    duration initialBackoff = std::chrono::milliseconds(20);
+    duration maxBackoff = std::chrono::milliseconds(500);
 };
 
-/// Chosen by the router for calls without key ownership, and told how each attempt went.
-struct member_choice {
-    /// Picks a member of the pool, none if there is none. `avoid` names the member that failed last, or is empty.
+/// Callbacks that select members for calls without key ownership and observe each attempt.
+struct member_selection_hooks {
+    /// Picks a member of the pool, if it has one. `avoid` is the member that failed last, or empty.
     std::function<std::optional<instance_ref>(
         const routing_snapshot&, const std::string& pool, const instance_id& avoid)>
         pick;
-    std::function<void(const instance_ref&)> started;
-    std::function<void(const instance_ref&, const call_observation&)> ended;
+    std::function<void(const instance_ref&)> onStarted;
+    std::function<void(const instance_ref&, const call_observation&)> onEnded;
 };
 
 struct entry_hooks {
     clock_function now;
-    member_choice choice;
-    /// Counts a first attempt; a retry asks whether the budget allows it.
-    std::function<void()> firstAttempt;
-    std::function<bool()> mayRetryNow;
-    /// Share of the backoff to wait, from 0 to 1.
+    member_selection_hooks memberSelection;
+    /// Records a first attempt in the retry budget.
+    std::function<void()> onFirstAttempt;
+    /// Spends one retry of the budget; false if the budget is used up.
+    std::function<bool()> tryRetry;
+    /// Random number from 0 to 1.
     std::function<double()> jitter;
-    /// One per answered call: selector, verdict, error name (empty if the backend server answered), latency.
-    std::function<void(const std::string& selector, verdict, std::string_view error, duration latency)> finished;
+    /// Called once per call at its end. `error` is empty if the backend server answered.
+    std::function<void(const std::string& selector, verdict, std::string_view error, duration latency)> onFinished;
     span_sink spans;
 };
 
-/// Takes callers' requests, finds the node that must run each, and passes the answer back. Retries what may be retried
-/// within the deadline; a call whose owner is not known or not ready waits for a newer snapshot instead of asking again
-/// and again.
+/// Accepts callers' requests, forwards each to the node that must run it, and relays the response. Failed calls are
+/// retried within the deadline where that is safe. A call whose owner is unknown or not ready waits for a newer
+/// snapshot instead of polling.
 class entry_router {
 public:
     entry_router(event_base*, instance_ref self, entry_limits, entry_hooks, call_runner& executor);
@@ -70,7 +71,7 @@
     friend class entry_call;
 
     void wakeWaiting();
-    void forget(entry_call&);
+    void removeCall(entry_call&);
 
     event_base* m_base;
     instance_ref m_self;
--- a/src/routing/forward_service.h
+++ b/src/routing/forward_service.h
@@ -6,8 +6,8 @@
 
 namespace heatherdrift {
 
-/// What other nodes ask of this one: `POST /v1/outcomes/ID`, `POST /v1/claims`, and every other request with the
-/// heatherdrift-target header, which is run by the executor.
+/// Handles requests of other nodes: `POST /v1/outcomes/ID` (state of a request), `POST /v1/claims` (claim of a token),
+/// and every other request with the heatherdrift-target header, which the executor runs.
 class forward_service {
 public:
     forward_service(instance_ref self, std::size_t streamBufferBytes, clock_function, call_executor&, span_sink);
@@ -30,7 +30,7 @@
     routing_snapshot_ptr m_snapshot;
 };
 
-/// The request for the claim of a token, and the answer to it.
+/// Request that claims a token at its issuer, and the parser of the response.
 http_request toClaimRequest(
     const once_token&, std::uint64_t fingerprint, const std::string& claimant, const instance_ref& issuer);
 result<claim_answer> parseClaimAnswer(const http_response&);
--- a/src/routing/internal/backend_monitor.cpp
+++ b/src/routing/internal/backend_monitor.cpp
@@ -5,10 +5,10 @@
 namespace {
 
     constexpr duration checkInterval = std::chrono::milliseconds(250);
-    /// A frozen server accepts connections but does not answer, so the deadline decides how soon it is noticed.
+    /// A frozen server accepts connections but does not respond, so this timeout determines how soon it is detected.
     constexpr duration checkTimeout = std::chrono::milliseconds(250);
-    constexpr int failuresToLose = 3;
-    constexpr int answersToReturn = 8;
+    constexpr int failuresUntilDown = 3;
+    constexpr int successesUntilUp = 8;
     constexpr std::size_t bodyLimit = 64 * 1024;
 
 } // namespace
@@ -37,23 +37,23 @@
         [this](const result<http_response>& response) {
             m_isChecking = false;
             m_timer.startOnce(checkInterval);
-            m_hooks.checked(response.has_error() && response.error().code != error_code::deadline_exceeded);
-            answered(response.has_value() && response.value().head.status < 500);
+            m_hooks.onChecked(response.has_error() && response.error().code != error_code::deadline_exceeded);
+            handleResult(response.has_value() && response.value().head.status < 500);
         });
 }
 
-void backend_monitor::answered(bool isAnswer)
+void backend_monitor::handleResult(bool isAnswer)
 {
     if (isAnswer == m_isAnswering) {
-        m_run = 0;
+        m_differingResults = 0;
         return;
     }
-    const int needed = m_isAnswering ? failuresToLose : answersToReturn;
-    if (++m_run < needed)
+    const int needed = m_isAnswering ? failuresUntilDown : successesUntilUp;
+    if (++m_differingResults < needed)
         return;
-    m_run = 0;
+    m_differingResults = 0;
     m_isAnswering = isAnswer;
-    m_hooks.changed(isAnswer);
+    m_hooks.onChanged(isAnswer);
 }
 
 } // namespace heatherdrift
--- a/src/routing/internal/backend_monitor.h
+++ b/src/routing/internal/backend_monitor.h
@@ -10,24 +10,24 @@
 
 namespace heatherdrift {
 
-/// Asks the backend server's health endpoint regularly, and at once after a failed call. A server that fails several
-/// times in a row counts as gone, and as back after several answers in a row.
+/// Checks the backend server's health endpoint periodically, and immediately after a failed call. Several consecutive
+/// failures mark the server as down, several consecutive successes as up.
 class backend_monitor {
 public:
     struct hooks {
-        std::function<void(bool isAnswering)> changed;
-        /// Called after each check: whether the connection was refused or lost.
-        std::function<void(bool isCrashed)> checked;
+        std::function<void(bool isAnswering)> onChanged;
+        /// Called after each check; `isCrashed` if the connection was refused or lost.
+        std::function<void(bool isCrashed)> onChecked;
     };
 
     backend_monitor(event_base*, const endpoint&, clock_function, hooks);
 
-    /// A call failed: the next check must not wait.
+    /// Starts a check immediately, after a failed call.
     void checkNow();
 
 private:
     void check();
-    void answered(bool isAnswer);
+    void handleResult(bool isAnswer);
 
     std::unique_ptr<http_client> m_client;
     clock_function m_now;
@@ -35,7 +35,7 @@
     timer m_timer;
     bool m_isChecking = false;
     bool m_isAnswering = true;
-    int m_run = 0; ///< Outcomes in a row that speak against the present judgement.
+    int m_differingResults = 0; ///< Consecutive results that differ from m_isAnswering.
 };
 
 } // namespace heatherdrift
--- a/src/routing/internal/call.cpp
+++ b/src/routing/internal/call.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-    constexpr std::size_t maximumKeyBytes = 1024;
-    constexpr std::size_t maximumTokenBytes = 256;
-    constexpr std::size_t maximumCustomerBytes = 64;
+    constexpr std::size_t maxKeyBytes = 1024;
+    constexpr std::size_t maxTokenBytes = 256;
+    constexpr std::size_t maxWorkspaceBytes = 64;
     constexpr std::string_view reservedPrefix = "heatherdrift-";
 
     std::string textOf(const http_headers& headers, const char* name)
@@ -18,24 +18,24 @@
         return std::string(headers.find(name).value_or(""));
     }
 
-    result<time_point> parseDeadline(const http_headers& headers, duration longest, time_point now)
+    result<time_point> parseDeadline(const http_headers& headers, duration maxTimeout, time_point now)
     {
         const auto text = headers.find(header::timeoutMilliseconds);
         if (!text)
-            return now + longest;
+            return now + maxTimeout;
         std::int64_t milliseconds = 0;
         const auto [end, error] = std::from_chars(text->data(), text->data() + text->size(), milliseconds);
         if (error != std::errc() || end != text->data() + text->size() || milliseconds < 0)
             return notRun(error_code::bad_request, std::string(header::timeoutMilliseconds) + " is not a number");
-        const auto mostMilliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(longest).count();
-        return now + std::chrono::milliseconds(std::min<std::int64_t>(milliseconds, mostMilliseconds));
+        const auto maxMilliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(maxTimeout).count();
+        return now + std::chrono::milliseconds(std::min<std::int64_t>(milliseconds, maxMilliseconds));
     }
 
-    result<void> checkLength(const http_headers& headers, const char* name, std::size_t longest)
+    result<void> checkLength(const http_headers& headers, const char* name, std::size_t maxBytes)
     {
-        if (headers.find(name).value_or("").size() > longest)
+        if (headers.find(name).value_or("").size() > maxBytes)
             return notRun(
-                error_code::bad_request, std::string(name) + " is longer than " + std::to_string(longest) + " bytes");
+                error_code::bad_request, std::string(name) + " is longer than " + std::to_string(maxBytes) + " bytes");
         return outcome::success();
     }
 
@@ -45,8 +45,8 @@
             && isSameHeaderName(name.substr(0, reservedPrefix.size()), reservedPrefix);
     }
 
-    /// Headers that travel with the request to the backend server. Names of this system's own headers are dropped, so
-    /// that a caller cannot pose as a node.
+    /// Caller's headers that are passed to the backend server. This system's own headers are dropped, so that a caller
+    /// cannot impersonate a node.
     http_headers passedHeaders(const http_headers& headers)
     {
         http_headers passed;
@@ -62,9 +62,9 @@
     result<call> readCall(
         const http_request& request, std::string requestId, const configuration& current, time_point now)
     {
-        BOOST_OUTCOME_TRYV(checkLength(request.headers, header::key, maximumKeyBytes));
-        BOOST_OUTCOME_TRYV(checkLength(request.headers, header::token, maximumTokenBytes));
-        BOOST_OUTCOME_TRYV(checkLength(request.headers, header::customer, maximumCustomerBytes));
+        BOOST_OUTCOME_TRYV(checkLength(request.headers, header::key, maxKeyBytes));
+        BOOST_OUTCOME_TRYV(checkLength(request.headers, header::token, maxTokenBytes));
+        BOOST_OUTCOME_TRYV(checkLength(request.headers, header::customer, maxWorkspaceBytes));
         call parsed;
         parsed.requestId = std::move(requestId);
         BOOST_OUTCOME_TRY(labels, parseLabelHeader(textOf(request.headers, header::labels)));
@@ -83,7 +83,7 @@
         parsed.key = textOf(request.headers, header::key);
         if (parsed.key.empty() && parsed.policy.ownership != ownership_need::none)
             return notRun(error_code::bad_request, std::string(header::key) + " is missing");
-        parsed.customer = textOf(request.headers, header::customer);
+        parsed.workspace = textOf(request.headers, header::customer);
         parsed.token = textOf(request.headers, header::token);
         BOOST_OUTCOME_TRY(deadline, parseDeadline(request.headers, parsed.policy.timeout, now));
         parsed.deadline = deadline;
@@ -101,7 +101,7 @@
         return text;
     }
 
-    /// Rounded up, so that the next hop does not give up before this one.
+    /// Rounded up, so that the next hop does not time out before this one.
     std::string remainingMilliseconds(time_point deadline, time_point now)
     {
         const auto left = std::chrono::ceil<std::chrono::milliseconds>(deadline - now).count();
@@ -118,8 +118,8 @@
             request.headers.set(header::key, source.key);
         if (!source.token.empty())
             request.headers.set(header::token, source.token);
-        if (!source.customer.empty())
-            request.headers.set(header::customer, source.customer);
+        if (!source.workspace.empty())
+            request.headers.set(header::customer, source.workspace);
         return request;
     }
 
@@ -178,7 +178,7 @@
     const auto requestId = textOf(request.headers, header::requestId);
     const auto owner = parseInstance(textOf(request.headers, header::target));
     if (requestId.empty() || !owner)
-        return notRun(error_code::bad_request, "not a forwarded request");
+        return notRun(error_code::bad_request, "forwarded request without a request id or a valid target");
     BOOST_OUTCOME_TRY(parsed, readCall(request, requestId, current, now));
     return std::pair { std::move(parsed), call_target { *owner } };
 }
@@ -230,7 +230,7 @@
         return std::nullopt;
     const auto outcome = parseVerdict(head.headers.find(header::verdict).value_or(""));
     const auto code = parseErrorCode(*error);
-    // An answer that cannot be read proves nothing.
+    // A response without a valid verdict does not prove that the call did not run.
     if (!outcome || !code)
         return mayHaveRun(error_code::internal, "the node's answer has no valid verdict");
     return failure { *outcome, *code, "" };
--- a/src/routing/internal/call_executor.cpp
+++ b/src/routing/internal/call_executor.cpp
@@ -7,8 +7,8 @@
 namespace {
 
     constexpr int warmConnections = 4;
-    /// Calls that take up to this long may use all slots. Downloads and video pulls take seconds; with 50 ms, a pool
-    /// whose usual calls take 100 ms had half of its slots idle at the crest of a swing.
+    /// Calls that take up to this long may use all slots. Downloads and video streams take seconds. With 50 ms, a pool
+    /// whose usual calls take 100 ms left half of its slots idle at peak load.
     constexpr duration shortLimit = std::chrono::milliseconds(250);
     constexpr duration warmTimeout = std::chrono::seconds(5);
 
@@ -22,7 +22,7 @@
     , m_requests(m_settings.requests)
     , m_load(m_hooks.now())
     , m_advance(base, [this] { advance(); })
-    , m_leaseTimer(base, [this] { cancelWithoutLease(); })
+    , m_leaseTimer(base, [this] { cancelOnLeaseEnd(); })
 {
 }
 
@@ -38,7 +38,7 @@
     auto started
         = std::make_shared<executed_call>(*this, id, std::move(source), std::move(target), std::move(handlers));
     m_calls.emplace(id, started);
-    started->beginLater();
+    started->scheduleBegin();
     return started;
 }
 
@@ -55,7 +55,7 @@
 {
     m_isStopped = true;
     m_leaseEnd = {};
-    cancelWithoutLease();
+    cancelOnLeaseEnd();
 }
 
 void call_executor::setLeaseEnd(time_point end)
@@ -97,10 +97,10 @@
     return settings;
 }
 
-void call_executor::stopPartition(const partition_id& partition, std::function<void()> onQuiet)
+void call_executor::stopPartition(const partition_id& partition, std::function<void()> onIdle)
 {
-    m_stopped[partition].push_back(std::move(onQuiet));
-    reportQuietPartitions();
+    m_stopped[partition].push_back(std::move(onIdle));
+    notifyIdlePartitions();
 }
 
 void call_executor::resumePartition(const partition_id& partition) { m_stopped.erase(partition); }
@@ -134,7 +134,7 @@
     if (!found || !found->isOwnedBy(m_settings.self))
         return notRun(error_code::not_owner, "this instance does not own the key");
     if (m_stopped.contains({ source.pool, found->index }))
-        return notRun(error_code::not_owner, "the key is being handed over");
+        return notRun(error_code::not_owner, "the key's partition is being transferred");
     if (m_hooks.now() >= m_leaseEnd)
         return notRun(error_code::lease_expired, "this instance has no valid lease");
     return std::optional(backend_grant { source.pool, found->index, found->number, m_leaseEnd });
@@ -148,7 +148,7 @@
     request.kind = { source.selector, source.request.method };
     request.configured = source.policy.length;
     request.priority = source.policy.priority;
-    request.customer = source.customer;
+    request.customer = source.workspace;
     request.deadline = source.deadline;
     request.fingerprint = fingerprintOf(source);
     apply(m_admission->submit(request, m_hooks.now()));
@@ -171,33 +171,34 @@
 
 load_sample call_executor::takeLoad() { return m_load.take(m_hooks.now()); }
 
-void call_executor::ended(executed_call& call, std::optional<admission_end> how)
+void call_executor::onCallEnded(executed_call& call, std::optional<admission_end> how)
 {
     const auto id = call.id();
     m_calls.erase(id);
     if (!m_admission)
         return;
     if (how == admission_end::failed) {
-        // The slot stays taken until it is known whether the call was running when the backend server crashed.
+        // Keeps the slot occupied until a health check shows whether the call was running when the backend server
+        // crashed.
         m_lostCalls.push_back(id);
-        m_hooks.backendFailed();
+        m_hooks.onBackendFailure();
     } else if (how) {
         apply(m_admission->finish(id, *how, m_hooks.now()));
     } else {
         m_admission->cancel(id, m_hooks.now());
     }
-    reportQuietPartitions();
+    notifyIdlePartitions();
 }
 
-void call_executor::backendChecked(bool isCrashed)
+void call_executor::onBackendChecked(bool isCrashed)
 {
     if (m_lostCalls.empty() || !m_admission)
         return;
     if (isCrashed) {
         const auto crashId = toString(m_settings.self) + "/" + std::to_string(++m_crashes);
         auto strikes = m_admission->crashed(crashId, m_hooks.now());
-        if (!strikes.empty() && m_hooks.strikes)
-            m_hooks.strikes(std::move(strikes));
+        if (!strikes.empty() && m_hooks.onStrikes)
+            m_hooks.onStrikes(std::move(strikes));
     }
     for (const auto id : std::exchange(m_lostCalls, {}))
         apply(m_admission->finish(id, admission_end::failed, m_hooks.now()));
@@ -224,7 +225,7 @@
         m_advance.startAt(next);
 }
 
-void call_executor::cancelWithoutLease()
+void call_executor::cancelOnLeaseEnd()
 {
     if (m_hooks.now() < m_leaseEnd)
         return;
@@ -234,10 +235,10 @@
             affected.push_back(running);
     }
     for (const auto& running : affected)
-        running->loseOwnership();
+        running->onLeaseEnd();
 }
 
-void call_executor::reportQuietPartitions()
+void call_executor::notifyIdlePartitions()
 {
     if (m_stopped.empty())
         return;
@@ -247,7 +248,7 @@
         if (!held)
             continue;
         busy.insert(*held);
-        // A key that became hot while the call was running is now in a partition of its own, which must wait as well.
+        // A key that became hot during the call now has its own partition, which this call keeps busy as well.
         const auto* pool = m_snapshot->configuration->findPool(held->pool);
         const auto found = pool ? m_snapshot->partitions.find(*pool, running->source().key) : std::nullopt;
         if (found)
--- a/src/routing/internal/entry_call.cpp
+++ b/src/routing/internal/entry_call.cpp
@@ -11,10 +11,10 @@
 
     constexpr duration inquiryTimeout = std::chrono::seconds(1);
     constexpr std::size_t inquiryBodyLimit = 4096;
-    /// Spread of a wake-up after a new snapshot, so that all waiting calls do not start in the same millisecond.
-    constexpr duration wakeSpread = std::chrono::milliseconds(5);
+    /// Maximum delay after a new snapshot, randomised so that waiting calls do not all start in the same millisecond.
+    constexpr duration maxWakeDelay = std::chrono::milliseconds(5);
 
-    /// Errors after which another attempt has a chance once the owner or its state has changed.
+    /// Errors after which another attempt can succeed once the owner or its state has changed.
     bool dependsOnRoute(error_code code)
     {
         switch (code) {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Errors of a member of a pool without ownership after which another member may be asked.
+    /// Errors after which a call without key ownership may be sent to another member.
     bool dependsOnMember(error_code code) { return dependsOnRoute(code) || code == error_code::overloaded; }
 
     request_state parseState(std::string_view body)
@@ -65,7 +65,7 @@
 {
     m_exchange->onClosed([weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->callerLeft();
+            self->onCallerClosed();
     });
     const auto& snapshot = m_router->m_snapshot;
     if (!snapshot || !snapshot->configuration)
@@ -76,7 +76,7 @@
     m_call = std::move(parsed).value();
     m_parentSpan = m_exchange->request().headers.find(header::traceparent) ? m_call->trace.spanId : "";
     m_call->trace = childOf(m_call->trace);
-    m_router->m_hooks.firstAttempt();
+    m_router->m_hooks.onFirstAttempt();
     attempt();
 }
 
@@ -84,7 +84,7 @@
 {
     const auto& snapshot = *m_router->m_snapshot;
     if (m_call->policy.ownership == ownership_need::none)
-        return m_router->m_hooks.choice.pick(snapshot, m_call->pool, m_lastFailed);
+        return m_router->m_hooks.memberSelection.pick(snapshot, m_call->pool, m_lastFailed);
     const auto* pool = snapshot.configuration->findPool(m_call->pool);
     const auto found = pool ? snapshot.partitions.find(*pool, m_call->key) : std::nullopt;
     if (!found || !found->owner)
@@ -113,7 +113,7 @@
     m_attemptAt = m_router->m_hooks.now();
     m_headFailure.reset();
     if (m_call->policy.ownership == ownership_need::none)
-        m_router->m_hooks.choice.started(owner);
+        m_router->m_hooks.memberSelection.onStarted(owner);
     http_call_handlers handlers;
     handlers.onHead = [this](const http_response_head& head) { onHead(head); };
     handlers.onData = [this](std::string_view data) { onData(data); };
@@ -145,7 +145,7 @@
         return stated;
     if (head.headers.find(header::verdict))
         return std::nullopt;
-    // The listener of a node refuses malformed or oversized requests without a verdict, before any work is begun.
+    // A node's HTTP listener rejects malformed or oversized requests without a verdict, before any processing.
     return notRun(error_code::bad_request, "the owner's node refused the request");
 }
 
@@ -192,7 +192,7 @@
     if (m_isOver)
         return;
     if (m_relay->hasStarted()) {
-        noteAttemptEnd(how.has_error() ? call_observation::kind::failure : call_observation::kind::success);
+        recordAttemptEnd(how.has_error() ? call_observation::kind::failure : call_observation::kind::success);
         if (how.has_value())
             m_relay->finish();
         else
@@ -201,10 +201,11 @@
     }
     if (m_headFailure)
         return attemptFailed(*m_headFailure);
-    attemptFailed(how.has_error() ? how.error() : mayHaveRun(error_code::internal, "an answer without a head"));
+    attemptFailed(
+        how.has_error() ? how.error() : mayHaveRun(error_code::internal, "the response ended without a head"));
 }
 
-void entry_call::noteAttemptEnd(call_observation::kind how)
+void entry_call::recordAttemptEnd(call_observation::kind how)
 {
     m_running = nullptr;
     m_relay->setSource(nullptr);
@@ -213,13 +214,13 @@
     call_observation observation { how, std::nullopt };
     if (m_call->policy.length == call_length::short_call)
         observation.latency = m_router->m_hooks.now() - m_attemptAt;
-    m_router->m_hooks.choice.ended(*m_target, observation);
+    m_router->m_hooks.memberSelection.onEnded(*m_target, observation);
 }
 
 void entry_call::attemptFailed(failure reason)
 {
     const bool isRefusal = reason.code == error_code::overloaded || reason.code == error_code::draining;
-    noteAttemptEnd(isRefusal ? call_observation::kind::refused : call_observation::kind::failure);
+    recordAttemptEnd(isRefusal ? call_observation::kind::refused : call_observation::kind::failure);
     m_lastFailed = m_target->id;
     const bool isRemote = *m_target != m_router->m_self;
     const bool isConnectionLoss = reason.code == error_code::connection_lost || reason.code == error_code::unreachable;
@@ -241,11 +242,11 @@
     m_inquiry = fetch(*client, std::move(request), std::min(now + inquiryTimeout, m_call->deadline), inquiryBodyLimit,
         [weak = weak_from_this(), reason](const result<http_response>& answer) {
             if (const auto self = weak.lock())
-                self->inquired(reason, answer);
+                self->onInquiryAnswer(reason, answer);
         });
 }
 
-void entry_call::inquired(const failure& reason, const result<http_response>& answer)
+void entry_call::onInquiryAnswer(const failure& reason, const result<http_response>& answer)
 {
     m_inquiry = nullptr;
     if (m_isOver)
@@ -256,7 +257,7 @@
     case request_state::refused:
         return retryOrFail(notRun(reason.code, "the owner's node will not run the request"));
     case request_state::answered:
-        // The owner's ledger repeats the answer to the same token, or says that it is not kept.
+        // A resend with the same token returns the kept response, or an error if it was not kept.
         if (m_call->policy.once == once_mode::token) {
             m_mayHaveRun = true;
             return attempt();
@@ -275,7 +276,7 @@
     const bool isOwned = m_call->policy.ownership != ownership_need::none;
     if (isOwned && dependsOnRoute(reason.code))
         return waitForRoute(reason);
-    if (!isOwned && dependsOnMember(reason.code) && m_router->m_hooks.mayRetryNow()) {
+    if (!isOwned && dependsOnMember(reason.code) && m_router->m_hooks.tryRetry()) {
         m_retry.startOnce(nextBackoff());
         return;
     }
@@ -288,21 +289,20 @@
     if (now >= m_call->deadline)
         return fail(reason);
     m_isWaitingForRoute = true;
-    // A new snapshot wakes the call at once. The timer serves for changes that no snapshot announces, such as a lease
-    // that is valid again; it spends the retry budget.
+    // A new snapshot wakes the call immediately. The timer covers changes without a new snapshot, such as a lease that
+    // is valid again; retries by timer spend the retry budget.
     const auto backoff = nextBackoff();
-    if (m_attempts == 0 || m_router->m_hooks.mayRetryNow())
+    if (m_attempts == 0 || m_router->m_hooks.tryRetry())
         m_retry.startAt(std::min(now + backoff, m_call->deadline));
     else
-        m_retry.startAt(std::min(now + m_router->m_limits.longestBackoff, m_call->deadline));
+        m_retry.startAt(std::min(now + m_router->m_limits.maxBackoff, m_call->deadline));
 }
 
 duration entry_call::nextBackoff()
 {
     const auto doublings = std::clamp(m_attempts, 0, 10);
-    const auto longest
-        = std::min(m_router->m_limits.firstBackoff * (1 << doublings), m_router->m_limits.longestBackoff);
-    return std::chrono::duration_cast<duration>(longest * (0.5 + 0.5 * m_router->m_hooks.jitter()));
+    const auto maxDelay = std::min(m_router->m_limits.initialBackoff * (1 << doublings), m_router->m_limits.maxBackoff);
+    return std::chrono::duration_cast<duration>(maxDelay * (0.5 + 0.5 * m_router->m_hooks.jitter()));
 }
 
 void entry_call::wake()
@@ -310,9 +310,9 @@
     if (!m_isWaitingForRoute || m_isOver)
         return;
     const auto owner = chooseOwner();
-    // The timer goes on if the snapshot changed nothing for this call.
+    // The backoff timer keeps running if the snapshot did not change this call's owner.
     if (owner && owner != m_target)
-        m_retry.startOnce(std::chrono::duration_cast<duration>(wakeSpread * m_router->m_hooks.jitter()));
+        m_retry.startOnce(std::chrono::duration_cast<duration>(maxWakeDelay * m_router->m_hooks.jitter()));
 }
 
 void entry_call::fail(failure reason)
@@ -332,22 +332,22 @@
     m_exchange->onClosed(nullptr);
     auto& hooks = m_router->m_hooks;
     const auto now = hooks.now();
-    hooks.finished(m_call ? m_call->selector : "", outcome, error, now - m_startedAt);
+    hooks.onFinished(m_call ? m_call->selector : "", outcome, error, now - m_startedAt);
     if (hooks.spans && m_call && m_call->trace.isSampled) {
         hooks.spans({ m_call->trace, m_parentSpan, "entry", toString(m_router->m_self), m_startedAt, now,
             std::string(toString(outcome)), std::string(error) });
     }
-    m_router->forget(*this);
+    m_router->removeCall(*this);
 }
 
-void entry_call::callerLeft()
+void entry_call::onCallerClosed()
 {
     if (m_isOver)
         return;
     const auto keepAlive = shared_from_this();
     if (m_running) {
         m_running->cancel();
-        noteAttemptEnd(call_observation::kind::cancelled);
+        recordAttemptEnd(call_observation::kind::cancelled);
     }
     if (m_inquiry)
         m_inquiry->cancel();
--- a/src/routing/internal/entry_call.h
+++ b/src/routing/internal/entry_call.h
@@ -5,13 +5,13 @@
 
 namespace heatherdrift {
 
-/// One request of a caller at its entry node, over all its attempts.
+/// One request of a caller at its entry node, across all attempts.
 class entry_call : public std::enable_shared_from_this<entry_call> {
 public:
     entry_call(entry_router&, http_exchange_ptr, std::string requestId);
 
     void begin();
-    /// A newer snapshot arrived.
+    /// Attempts the call again soon if a newer snapshot changed its owner.
     void wake();
     bool isWaitingForRoute() const { return m_isWaitingForRoute; }
     /// The router is being destroyed.
@@ -29,13 +29,13 @@
     void relay(const http_response_head&);
     void attemptFailed(failure);
     void inquire(const failure&);
-    void inquired(const failure&, const result<http_response>&);
+    void onInquiryAnswer(const failure&, const result<http_response>&);
     void retryOrFail(const failure&);
     void waitForRoute(const failure&);
     void fail(failure);
     void finish(verdict, std::string_view error);
-    void callerLeft();
-    void noteAttemptEnd(call_observation::kind);
+    void onCallerClosed();
+    void recordAttemptEnd(call_observation::kind);
     duration nextBackoff();
     std::string attemptId() const { return m_requestId + "." + std::to_string(m_attempts); }
 
@@ -56,7 +56,7 @@
     bool m_mayHaveRun = false; ///< An earlier attempt may have run, so the call can no longer end as not_run.
     bool m_isWaitingForRoute = false;
     bool m_isOver = false;
-    std::optional<failure> m_headFailure; ///< Stated by the head of the running attempt; its body is not passed on.
+    std::optional<failure> m_headFailure; ///< Read from the head of the running attempt; its body is not relayed.
     verdict m_answered = verdict::ran;
     std::string m_answeredError;
 };
--- a/src/routing/internal/entry_router.cpp
+++ b/src/routing/internal/entry_router.cpp
@@ -38,20 +38,20 @@
 void entry_router::setSnapshot(routing_snapshot_ptr snapshot)
 {
     m_snapshot = std::move(snapshot);
-    // Several pages often change in a row, so the waiting calls look once for all of them.
+    // Snapshots often arrive in quick succession, so waiting calls are woken once for all of them.
     if (!m_wake.isPending())
         m_wake.startOnce({});
 }
 
 void entry_router::wakeWaiting()
 {
-    m_peers.forgetExcept(*m_snapshot);
+    m_peers.closeExcept(*m_snapshot);
     for (const auto& waiting : m_calls) {
         if (waiting->isWaitingForRoute())
             waiting->wake();
     }
 }
 
-void entry_router::forget(entry_call& call) { m_calls.erase(call.shared_from_this()); }
+void entry_router::removeCall(entry_call& call) { m_calls.erase(call.shared_from_this()); }
 
 } // namespace heatherdrift
--- a/src/routing/internal/executed_call.cpp
+++ b/src/routing/internal/executed_call.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    /// Head of the backend server's answer as the caller gets it.
+    /// Response head for the caller, made from the backend server's.
     http_response_head answeredHead(const http_response_head& source, const call& of, const instance_ref& self)
     {
         http_response_head head { source.status, {} };
@@ -22,7 +22,7 @@
         return head;
     }
 
-    /// A backend server may say that it did not run a request, by the verdict header with an error status.
+    /// A backend server can state with the verdict header and an error status that it did not run the request.
     bool statesNotRun(const http_response_head& head)
     {
         return head.status >= 400 && head.headers.find(header::verdict) == toString(verdict::not_run);
@@ -68,17 +68,17 @@
     , m_target(std::move(target))
     , m_handlers(std::move(handlers))
     , m_begin(executor.m_base, [this] { begin(); })
-    , m_claimDeadline(executor.m_base, [this] { claimExpired(); })
+    , m_claimDeadline(executor.m_base, [this] { onDeadline(); })
 {
 }
 
-void executed_call::beginLater()
+void executed_call::scheduleBegin()
 {
     m_begin.startOnce({});
     m_claimDeadline.startAt(m_call.deadline);
 }
 
-void executed_call::claimExpired()
+void executed_call::onDeadline()
 {
     if (m_stage == stage::created || m_stage == stage::claiming)
         end(notRun(error_code::deadline_exceeded, "the deadline passed before the call was allowed to run"));
@@ -95,7 +95,7 @@
         return end(grant.error());
     if (!m_executor->m_requests.begin(m_call.requestId, now())) {
         return end(
-            notRun(error_code::cancelled, "the request was refused before it arrived, or its id was used before"));
+            notRun(error_code::cancelled, "the request id was refused by an earlier inquiry or was used before"));
     }
     m_isRegistered = true;
     m_stage = stage::claiming;
@@ -113,7 +113,7 @@
 void executed_call::claimToken()
 {
     if (m_call.token.empty())
-        return requireToken();
+        return respondWithNewToken();
     const auto parsed = parseToken(m_call.token);
     if (parsed.has_error())
         return end(parsed.error());
@@ -122,34 +122,34 @@
     auto& ledger = m_executor->m_once;
     if (ledger.isOwn(token)) {
         m_token = token;
-        return settleClaim(ledger.claim(token, fingerprint, m_call.requestId, now()));
+        return handleClaimAnswer(ledger.claim(token, fingerprint, m_call.requestId, now()));
     }
-    auto adopted = ledger.findAdopted(token, fingerprint, m_call.requestId);
-    if (adopted.has_error())
-        return end(adopted.error());
-    if (adopted.value()) {
+    auto remote = ledger.findRemoteClaim(token, fingerprint, m_call.requestId);
+    if (remote.has_error())
+        return end(remote.error());
+    if (remote.value()) {
         m_token = token;
-        return settleClaim(*adopted.value());
+        return handleClaimAnswer(*remote.value());
     }
-    m_executor->m_hooks.claimElsewhere(token, fingerprint, m_call.requestId, m_call.deadline,
+    m_executor->m_hooks.claimAtIssuer(token, fingerprint, m_call.requestId, m_call.deadline,
         [weak = weak_from_this(), token](const result<claim_answer>& answer) {
             if (const auto self = weak.lock())
-                self->claimedElsewhere(token, answer);
+                self->onIssuerAnswer(token, answer);
         });
 }
 
-void executed_call::claimedElsewhere(const once_token& token, const result<claim_answer>& answer)
+void executed_call::onIssuerAnswer(const once_token& token, const result<claim_answer>& answer)
 {
     if (m_stage != stage::claiming)
         return;
     if (answer.has_value() && answer.value().what == claim_answer::kind::granted) {
-        m_executor->m_once.adopt(token, fingerprintOf(m_call), m_call.requestId, now());
+        m_executor->m_once.addRemoteClaim(token, fingerprintOf(m_call), m_call.requestId, now());
         m_token = token;
     }
-    settleClaim(answer);
+    handleClaimAnswer(answer);
 }
 
-void executed_call::settleClaim(const result<claim_answer>& answer)
+void executed_call::handleClaimAnswer(const result<claim_answer>& answer)
 {
     if (answer.has_error()) {
         m_token.reset();
@@ -160,10 +160,11 @@
         return submit();
     case claim_answer::kind::repeated:
         m_token.reset();
-        return repeatAnswer(answer.value());
+        return respondFromClaim(answer.value());
     case claim_answer::kind::unknown:
         m_token.reset();
-        return end(mayHaveRun(error_code::token_stale, "nobody can tell any more whether the token was used"));
+        return end(mayHaveRun(
+            error_code::token_stale, "the token's issuer is unreachable or no longer has a record of the token"));
     }
 }
 
@@ -191,7 +192,7 @@
     m_executor->submit(*this);
 }
 
-void executed_call::requireToken()
+void executed_call::respondWithNewToken()
 {
     auto issued = m_executor->m_once.issue(now());
     if (issued.has_error())
@@ -202,7 +203,7 @@
     respond(std::move(response.head), std::move(response.body), request_state::refused);
 }
 
-void executed_call::repeatAnswer(const claim_answer& claim)
+void executed_call::respondFromClaim(const claim_answer& claim)
 {
     if (claim.answer) {
         auto head = claim.answer->head;
@@ -210,9 +211,9 @@
         return respond(std::move(head), claim.answer->body, request_state::answered);
     }
     if (claim.state == run_state::answered) {
-        return end(failure { verdict::ran, error_code::token_spent, "the call ran; its answer is not kept" });
+        return end(failure { verdict::ran, error_code::token_spent, "the call ran, but its response was not kept" });
     }
-    end(mayHaveRun(error_code::token_spent, "the call was started before and may have run"));
+    end(mayHaveRun(error_code::token_spent, "an earlier request with this token was started and may have run"));
 }
 
 void executed_call::respond(http_response_head head, std::string body, request_state state)
@@ -229,7 +230,7 @@
 {
     const auto keepAlive = shared_from_this();
     m_stage = stage::running;
-    // Time has passed in the queue, and this is the last point at which the call can be stopped.
+    // Checked again because ownership may have changed in the queue and the call cannot be withdrawn after this point.
     const auto grant = m_executor->authorize(m_call, m_target);
     if (grant.has_error())
         return end(grant.error());
@@ -272,17 +273,17 @@
     if (m_refusal || m_stage == stage::ended)
         return;
     if (m_token)
-        keepForReplay(data);
+        recordForReplay(data);
     if (m_handlers.onData)
         m_handlers.onData(data);
 }
 
-void executed_call::keepForReplay(std::string_view data)
+void executed_call::recordForReplay(std::string_view data)
 {
-    // One byte above the limit is enough for the ledger to see that the answer is too large to keep.
-    const auto most = m_executor->m_settings.once.answerBytes + 1;
-    if (m_replay.body.size() < most)
-        m_replay.body.append(data.substr(0, most - m_replay.body.size()));
+    // One byte above the limit lets the ledger detect that the response is too large to keep.
+    const auto maxBytes = m_executor->m_settings.once.answerBytes + 1;
+    if (m_replay.body.size() < maxBytes)
+        m_replay.body.append(data.substr(0, maxBytes - m_replay.body.size()));
 }
 
 void executed_call::onDone(const result<void>& how)
@@ -301,7 +302,7 @@
 
 void executed_call::refuse(failure reason) { end(std::move(reason)); }
 
-void executed_call::loseOwnership()
+void executed_call::onLeaseEnd()
 {
     const bool hadWritten = hasWritten();
     if (m_upstream)
@@ -374,7 +375,7 @@
     const auto handlers = std::exchange(m_handlers, {});
     if (heldSlot)
         m_executor->m_load.add(m_partition, m_call.key, now() - m_startedAt);
-    m_executor->ended(*this, heldSlot ? std::optional(admissionEndOf(how)) : std::nullopt);
+    m_executor->onCallEnded(*this, heldSlot ? std::optional(admissionEndOf(how)) : std::nullopt);
     if (handlers.onDone)
         handlers.onDone(how);
 }
--- a/src/routing/internal/forward_service.cpp
+++ b/src/routing/internal/forward_service.cpp
@@ -41,7 +41,7 @@
         return response;
     }
 
-    // CBOR, because the body of a kept answer may be any bytes.
+    // CBOR, because the body of a kept response may be binary.
     std::string encode(const json& document)
     {
         const auto bytes = json::to_cbor(document);
@@ -58,7 +58,7 @@
     {
         const auto document = json::from_cbor(body, true, false);
         if (document.is_discarded())
-            return notRun(error_code::bad_request, "not a claim");
+            return notRun(error_code::bad_request, "malformed claim request");
         json_reader reader(document, "", error_code::bad_request);
         claim_request request;
         std::string fingerprint;
@@ -96,13 +96,13 @@
         return *stated;
     const auto document = json::from_cbor(response.body, true, false);
     if (!document.is_object())
-        return mayHaveRun(error_code::token_stale, "the claim's answer cannot be read");
+        return mayHaveRun(error_code::token_stale, "malformed response to the claim");
     try {
         claim_answer answer;
         const auto kind = valueOf(kindNames, document.at("kind").get<std::string>());
         const auto state = valueOf(stateNames, document.at("state").get<std::string>());
         if (!kind || !state)
-            return mayHaveRun(error_code::token_stale, "the claim's answer cannot be read");
+            return mayHaveRun(error_code::token_stale, "malformed response to the claim");
         answer.what = *kind;
         answer.state = *state;
         answer.claimant = document.at("claimant").get<std::string>();
@@ -110,7 +110,7 @@
             answer.answer = parseResponse(document.at("answer"));
         return answer;
     } catch (const json::exception&) {
-        return mayHaveRun(error_code::token_stale, "the claim's answer cannot be read");
+        return mayHaveRun(error_code::token_stale, "malformed response to the claim");
     }
 }
 
@@ -194,10 +194,10 @@
     const auto document = json::parse(request.body, nullptr, false);
     if (requestId.empty() || !document.is_object() || !document.contains("sent_ago_us")
         || !document["sent_ago_us"].is_number_integer()) {
-        exchange->respond(toFailureResponse(notRun(error_code::bad_request, "not an inquiry"), requestId));
+        exchange->respond(toFailureResponse(notRun(error_code::bad_request, "malformed outcome inquiry"), requestId));
         return;
     }
-    // The other node's clock may run slower by the drift that leases allow for, so a little more time may have passed.
+    // Adds 2% for the clock drift that leases allow for: the other node's clock may run slower than this one.
     const auto ago = document["sent_ago_us"].get<std::int64_t>();
     const auto sentAt = m_now() - duration(ago + ago / 50);
     const auto state = m_executor.inquire(requestId, sentAt);
--- a/src/routing/internal/load_meter.cpp
+++ b/src/routing/internal/load_meter.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-    /// Bounds of one report; the least busy entries beyond them share the rest of the load.
-    constexpr std::size_t reportedPartitions = 16;
-    constexpr std::size_t reportedKeys = 32;
-    /// Keys counted between two reports; further keys of a short interval cannot be among the hottest.
-    constexpr std::size_t countedKeys = 20000;
+    /// Maximum entries of one report; less busy entries are only part of the total load.
+    constexpr std::size_t maxReportedPartitions = 16;
+    constexpr std::size_t maxReportedKeys = 32;
+    /// Maximum keys counted between two reports; keys first seen after that many are unlikely to be among the hottest.
+    constexpr std::size_t maxCountedKeys = 20000;
 
     template <typename Key>
     std::map<Key, double> busiest(const std::map<Key, duration>& loads, std::size_t count, double seconds)
@@ -37,10 +37,10 @@
     if (!partition)
         return;
     m_partitions[partition->index] += busy;
-    const auto known = m_keys.find(key);
-    if (known != m_keys.end())
-        known->second += busy;
-    else if (m_keys.size() < countedKeys)
+    const auto found = m_keys.find(key);
+    if (found != m_keys.end())
+        found->second += busy;
+    else if (m_keys.size() < maxCountedKeys)
         m_keys.emplace(key, busy);
 }
 
@@ -49,8 +49,8 @@
     const double seconds = std::max(std::chrono::duration<double>(now - m_since).count(), 0.001);
     load_sample sample;
     sample.busySlots = std::chrono::duration<double>(m_busy).count() / seconds;
-    sample.partitions = busiest(m_partitions, reportedPartitions, seconds);
-    sample.keys = busiest(m_keys, reportedKeys, seconds);
+    sample.partitions = busiest(m_partitions, maxReportedPartitions, seconds);
+    sample.keys = busiest(m_keys, maxReportedKeys, seconds);
     m_since = now;
     m_busy = {};
     m_partitions.clear();
--- a/src/routing/internal/load_meter.h
+++ b/src/routing/internal/load_meter.h
@@ -10,7 +10,7 @@
 
 namespace heatherdrift {
 
-/// Adds up the slot time of calls that ended, by partition and by key.
+/// Accumulates the slot time of completed calls by partition and by key.
 class load_meter {
 public:
     explicit load_meter(time_point now)
@@ -19,7 +19,7 @@
     }
 
     void add(const std::optional<partition_id>&, const std::string& key, duration busy);
-    /// Mean busy slots since the last call, of the busiest partitions and keys.
+    /// Mean busy slots since the previous call of this function, for the busiest partitions and keys.
     load_sample take(time_point now);
 
 private:
--- a/src/routing/internal/member_picker.cpp
+++ b/src/routing/internal/member_picker.cpp
@@ -9,19 +9,19 @@
 {
 }
 
-member_choice member_picker::hooks()
+member_selection_hooks member_picker::hooks()
 {
-    member_choice choice;
-    choice.pick = [this](const routing_snapshot&, const std::string& pool, const instance_id& avoid) {
+    member_selection_hooks selection;
+    selection.pick = [this](const routing_snapshot&, const std::string& pool, const instance_id& avoid) {
         return pick(pool, avoid);
     };
-    choice.started = [this](const instance_ref& member) {
+    selection.onStarted = [this](const instance_ref& member) {
         if (auto* pool = viewOf(member))
             pool->view->started(member.id, m_now());
     };
-    choice.ended
-        = [this](const instance_ref& member, const call_observation& observation) { ended(member, observation); };
-    return choice;
+    selection.onEnded
+        = [this](const instance_ref& member, const call_observation& observation) { onCallEnded(member, observation); };
+    return selection;
 }
 
 void member_picker::setSnapshot(const routing_snapshot& snapshot)
@@ -56,7 +56,7 @@
         return isGone;
     });
     for (const auto& [id, route] : serving) {
-        // Members that served before this node saw them are warm.
+        // Members of the first snapshot were already serving and are treated as warm.
         if (pool.members.try_emplace(id, route->self).second)
             pool.view->add(id, route->availabilityZone, !isFirst, now);
     }
@@ -64,22 +64,22 @@
 
 std::optional<instance_ref> member_picker::pick(const std::string& pool, const instance_id& avoid)
 {
-    const auto known = m_pools.find(pool);
-    if (known == m_pools.end())
+    const auto found = m_pools.find(pool);
+    if (found == m_pools.end())
         return std::nullopt;
     pick_options options;
     if (!avoid.empty())
         options.excluded = { avoid };
-    auto picked = known->second.view->pick(options, m_now());
-    // The member that failed last is still better than none.
+    auto picked = found->second.view->pick(options, m_now());
+    // Falls back to the member that failed last if there is no other.
     if (!picked && !avoid.empty())
-        picked = known->second.view->pick({}, m_now());
+        picked = found->second.view->pick({}, m_now());
     if (!picked)
         return std::nullopt;
-    return known->second.members.at(*picked);
+    return found->second.members.at(*picked);
 }
 
-void member_picker::ended(const instance_ref& member, const call_observation& observation)
+void member_picker::onCallEnded(const instance_ref& member, const call_observation& observation)
 {
     if (auto* pool = viewOf(member))
         pool->view->finished(member.id, observation, m_now());
--- a/src/routing/internal/member_picker.h
+++ b/src/routing/internal/member_picker.h
@@ -8,13 +8,13 @@
 
 namespace heatherdrift {
 
-/// Chooses members of pools for calls without key ownership, by what this node has seen of them.
+/// Selects pool members for calls without key ownership, by the load and failures that this node has observed.
 class member_picker {
 public:
     member_picker(instance_id self, clock_function, std::uint64_t seed);
 
-    member_choice hooks();
-    /// Members that serve are added to the view of their pool, others removed.
+    member_selection_hooks hooks();
+    /// Adds serving members to the load view of their pool and removes the others.
     void setSnapshot(const routing_snapshot&);
 
 private:
@@ -24,7 +24,7 @@
     };
 
     std::optional<instance_ref> pick(const std::string& pool, const instance_id& avoid);
-    void ended(const instance_ref&, const call_observation&);
+    void onCallEnded(const instance_ref&, const call_observation&);
     void update(pool_view&, const std::map<instance_id, const member_route*>& serving);
     pool_view* viewOf(const instance_ref&);
 
--- a/src/routing/internal/once_ledger.cpp
+++ b/src/routing/internal/once_ledger.cpp
@@ -49,7 +49,7 @@
     if (parts.size() != tokenParts || parts[0].empty() || !parseNumber(parts[1], token.issuer.number)
         || !parseNumber(parts[2], token.sequence) || !parseNumber(parts[3], issued)
         || !parseNumber(parts[4], token.check))
-        return notRun(error_code::bad_request, "not a token");
+        return notRun(error_code::bad_request, "malformed heatherdrift-token");
     token.issuer.id = parts[0];
     token.issued = time_point(duration(issued));
     return token;
@@ -64,7 +64,7 @@
 
 result<std::string> once_ledger::issue(time_point now)
 {
-    forgetOld(now);
+    evictExpired(now);
     if (m_runs.size() >= m_limits.tokens)
         return notRun(error_code::overloaded, "too many tokens are in use");
     once_token token { m_self, m_nextSequence++, now, 0 };
@@ -77,83 +77,84 @@
 result<claim_answer> once_ledger::claim(
     const once_token& token, std::uint64_t fingerprint, const std::string& claimant, time_point now)
 {
-    forgetOld(now);
+    evictExpired(now);
     if (!isOwn(token) || token.check != checkOf(token) || token.sequence >= m_nextSequence)
         return notRun(error_code::bad_request, "this process did not issue the token");
-    if (auto* known = find(token))
-        return claimAgain(*known, fingerprint, claimant);
-    // Runs are forgotten only after the token's life, so a younger token without a run was never claimed.
+    if (auto* existing = find(token))
+        return claimExisting(*existing, fingerprint, claimant);
+    // Runs are evicted only after the token's life, so a younger token without a run was never claimed.
     if (now >= token.issued + m_limits.tokenLife)
         return claim_answer {};
     if (m_runs.size() >= m_limits.tokens)
         return notRun(error_code::overloaded, "too many tokens are in use");
-    remember(
+    insertRun(
         toString(token), { fingerprint, claimant, run_state::claimed, false, {} }, token.issued + m_limits.tokenLife);
     return claim_answer { claim_answer::kind::granted, claimant, run_state::claimed, {} };
 }
 
-void once_ledger::adopt(const once_token& token, std::uint64_t fingerprint, const std::string& claimant, time_point now)
+void once_ledger::addRemoteClaim(
+    const once_token& token, std::uint64_t fingerprint, const std::string& claimant, time_point now)
 {
-    forgetOld(now);
-    remember(toString(token), { fingerprint, claimant, run_state::claimed, false, {} }, now + m_limits.tokenLife);
+    evictExpired(now);
+    insertRun(toString(token), { fingerprint, claimant, run_state::claimed, false, {} }, now + m_limits.tokenLife);
 }
 
-result<std::optional<claim_answer>> once_ledger::findAdopted(
+result<std::optional<claim_answer>> once_ledger::findRemoteClaim(
     const once_token& token, std::uint64_t fingerprint, const std::string& claimant)
 {
-    auto* known = find(token);
-    if (!known)
+    auto* existing = find(token);
+    if (!existing)
         return std::optional<claim_answer>();
-    BOOST_OUTCOME_TRY(answer, claimAgain(*known, fingerprint, claimant));
+    BOOST_OUTCOME_TRY(answer, claimExisting(*existing, fingerprint, claimant));
     return std::optional<claim_answer>(std::move(answer));
 }
 
-result<claim_answer> once_ledger::claimAgain(run& known, std::uint64_t fingerprint, const std::string& claimant)
+result<claim_answer> once_ledger::claimExisting(run& existing, std::uint64_t fingerprint, const std::string& claimant)
 {
-    // The kept answer belongs to the first request; another one must never receive it.
-    if (known.fingerprint != fingerprint)
-        return notRun(error_code::bad_request, "the token was used for another request");
-    if (known.isReleased || (known.claimant == claimant && known.state == run_state::claimed)) {
-        known.isReleased = false;
-        known.claimant = claimant;
+    // The kept response belongs to the first request and must not be returned to a different one.
+    if (existing.fingerprint != fingerprint)
+        return notRun(error_code::bad_request, "the token was used for a different request");
+    if (existing.isReleased || (existing.claimant == claimant && existing.state == run_state::claimed)) {
+        existing.isReleased = false;
+        existing.claimant = claimant;
         return claim_answer { claim_answer::kind::granted, claimant, run_state::claimed, {} };
     }
-    return claim_answer { claim_answer::kind::repeated, known.claimant, known.state, known.answer };
+    return claim_answer { claim_answer::kind::repeated, existing.claimant, existing.state, existing.answer };
 }
 
 void once_ledger::release(const once_token& token)
 {
-    auto* known = find(token);
-    if (!known || known->state == run_state::answered || known->state == run_state::unknown)
+    auto* existing = find(token);
+    if (!existing || existing->state == run_state::answered || existing->state == run_state::unknown)
         return;
-    known->state = run_state::claimed;
-    known->isReleased = true;
+    existing->state = run_state::claimed;
+    existing->isReleased = true;
 }
 
 void once_ledger::setStarted(const once_token& token)
 {
-    if (auto* known = find(token)) {
-        known->state = run_state::started;
-        known->isReleased = false;
+    if (auto* existing = find(token)) {
+        existing->state = run_state::started;
+        existing->isReleased = false;
     }
 }
 
 void once_ledger::setUnknown(const once_token& token)
 {
-    if (auto* known = find(token))
-        known->state = run_state::unknown;
+    if (auto* existing = find(token))
+        existing->state = run_state::unknown;
 }
 
 void once_ledger::setAnswered(const once_token& token, http_response answer)
 {
-    auto* known = find(token);
-    if (!known)
+    auto* existing = find(token);
+    if (!existing)
         return;
-    known->state = run_state::answered;
+    existing->state = run_state::answered;
     if (answer.body.size() > m_limits.answerBytes || m_keptBytes + answer.body.size() > m_limits.keptBytes)
         return;
     m_keptBytes += answer.body.size();
-    known->answer = std::move(answer);
+    existing->answer = std::move(answer);
 }
 
 std::uint64_t once_ledger::checkOf(const once_token& token) const
@@ -163,15 +164,16 @@
     return hashBytes(toString(unchecked), m_secret);
 }
 
-void once_ledger::remember(const std::string& token, run entry, time_point forgetAt)
+void once_ledger::insertRun(const std::string& token, run entry, time_point evictAt)
 {
     m_runs.insert_or_assign(token, std::move(entry));
-    m_expiries.push_back({ forgetAt, token });
+    m_expiries.push_back({ evictAt, token });
 }
 
-void once_ledger::forgetOld(time_point now)
+void once_ledger::evictExpired(time_point now)
 {
-    // Entries stand in the order of their claims, so one may be kept a little longer than its life, never shorter.
+    // Entries are in the order of their claims, not of expiry, so one may be kept longer than its life but never
+    // shorter.
     while (!m_expiries.empty() && m_expiries.front().when <= now) {
         const auto found = m_runs.find(m_expiries.front().token);
         if (found != m_runs.end()) {
--- a/src/routing/internal/peer_clients.cpp
+++ b/src/routing/internal/peer_clients.cpp
@@ -20,8 +20,8 @@
 
 http_client* peer_clients::find(const routing_snapshot& snapshot, const instance_ref& instance)
 {
-    if (const auto known = m_clients.find(instance); known != m_clients.end())
-        return known->second.get();
+    if (const auto found = m_clients.find(instance); found != m_clients.end())
+        return found->second.get();
     const auto* member = findMember(snapshot, instance);
     if (!member)
         return nullptr;
@@ -29,9 +29,9 @@
     return m_clients.emplace(instance, std::move(client)).first->second.get();
 }
 
-void peer_clients::forgetExcept(const routing_snapshot& snapshot)
+void peer_clients::closeExcept(const routing_snapshot& snapshot)
 {
-    // A client with a call in progress is kept: the answer may still arrive.
+    // A client with a call in progress is kept, since the response may still arrive.
     std::erase_if(m_clients, [&](const auto& entry) {
         return !findMember(snapshot, entry.first) && entry.second->connectionCount() == entry.second->idleCount();
     });
--- a/src/routing/internal/request_ledger.cpp
+++ b/src/routing/internal/request_ledger.cpp
@@ -21,7 +21,7 @@
 
 bool request_ledger::begin(const std::string& requestId, time_point now)
 {
-    forgetOld(now);
+    evictExpired(now);
     return m_states.try_emplace(requestId, request_state::running).second;
 }
 
@@ -32,15 +32,15 @@
         return;
     found->second = state;
     m_ended.push_back({ now, requestId });
-    forgetOld(now);
+    evictExpired(now);
 }
 
 request_state request_ledger::inquire(const std::string& requestId, time_point sentAt, time_point now)
 {
-    forgetOld(now);
+    evictExpired(now);
     if (const auto found = m_states.find(requestId); found != m_states.end())
         return found->second;
-    if (sentAt <= m_forgottenUntil || m_refused.size() >= m_limits.refusals)
+    if (sentAt <= m_evictedUntil || m_refused.size() >= m_limits.refusals)
         return request_state::unknown;
     m_states.emplace(requestId, request_state::refused);
     m_refused.push_back({ m_activeTime, requestId });
@@ -49,23 +49,25 @@
 
 void request_ledger::advanceActiveTime(time_point now)
 {
-    // A request may wait in a socket buffer while the process is paused, so a longer gap counts as this much only.
-    constexpr duration longestStep = std::chrono::seconds(1);
+    // A request may stay in a socket buffer while the process is paused, so longer gaps between calls count only this
+    // much.
+    constexpr duration maxStep = std::chrono::seconds(1);
     if (m_lastCall != time_point() && now > m_lastCall)
-        m_activeTime += std::min(now - m_lastCall, longestStep);
+        m_activeTime += std::min(now - m_lastCall, maxStep);
     m_lastCall = std::max(m_lastCall, now);
 }
 
-void request_ledger::forgetOld(time_point now)
+void request_ledger::evictExpired(time_point now)
 {
     advanceActiveTime(now);
-    while (!m_ended.empty() && (m_ended.front().when + m_limits.keep <= now || m_states.size() > m_limits.requests)) {
-        // A request that ended at this time began before it, so an inquiry about one sent later is still conclusive.
-        m_forgottenUntil = m_ended.front().when;
+    while (!m_ended.empty()
+        && (m_ended.front().when + m_limits.recordRetention <= now || m_states.size() > m_limits.requests)) {
+        // The evicted request began before it ended, so inquiries about requests sent later can still be answered.
+        m_evictedUntil = m_ended.front().when;
         m_states.erase(m_ended.front().requestId);
         m_ended.pop_front();
     }
-    while (!m_refused.empty() && m_refused.front().when + m_limits.keepRefusals <= m_activeTime) {
+    while (!m_refused.empty() && m_refused.front().when + m_limits.refusalRetention <= m_activeTime) {
         m_states.erase(m_refused.front().requestId);
         m_refused.pop_front();
     }
--- a/src/routing/internal/request_task.cpp
+++ b/src/routing/internal/request_task.cpp
@@ -39,7 +39,7 @@
 
     entry_hooks withPicker(entry_hooks hooks)
     {
-        hooks.choice = picker.hooks();
+        hooks.memberSelection = picker.hooks();
         return hooks;
     }
 
@@ -177,7 +177,7 @@
         std::make_unique<backend_link>(m_base, m_backend->address, defaultConnections), *m_backend);
     m_parts->monitor = std::make_unique<backend_monitor>(m_base, m_backend->address, m_hooks.now,
         backend_monitor::hooks { [this](bool isAnswering) { m_hooks.toControlTask(backend_state { isAnswering }); },
-            [this](bool isCrashed) { m_parts->executor.backendChecked(isCrashed); } });
+            [this](bool isCrashed) { m_parts->executor.onBackendChecked(isCrashed); } });
 }
 
 void request_task::on(const stop_partition& message)
@@ -222,24 +222,25 @@
 {
     entry_hooks hooks;
     hooks.now = m_hooks.now;
-    hooks.firstAttempt = [this] { m_retries.recordFirstAttempt(m_hooks.now()); };
-    hooks.mayRetryNow = [this] { return m_retries.tryRetry(m_hooks.now()); };
+    hooks.onFirstAttempt = [this] { m_retries.recordFirstAttempt(m_hooks.now()); };
+    hooks.tryRetry = [this] { return m_retries.tryRetry(m_hooks.now()); };
     hooks.jitter = [this] { return std::uniform_real_distribution<double>(0, 1)(m_random); };
     hooks.spans = m_hooks.spans;
     auto* metrics = m_hooks.metrics;
-    hooks.finished = [metrics](const std::string& selector, verdict outcome, std::string_view error, duration latency) {
-        if (!metrics)
-            return;
-        metrics
-            ->counter("heatherdrift_requests_total", "Requests of callers by selector, verdict and error.",
-                { { "selector", selector }, { "verdict", std::string(toString(outcome)) },
-                    { "error", std::string(error) } })
-            .Increment();
-        metrics
-            ->latency("heatherdrift_request_seconds", "Time from a caller's request to the end of its answer.",
-                { { "selector", selector } })
-            .Observe(std::chrono::duration<double>(latency).count());
-    };
+    hooks.onFinished
+        = [metrics](const std::string& selector, verdict outcome, std::string_view error, duration latency) {
+              if (!metrics)
+                  return;
+              metrics
+                  ->counter("heatherdrift_requests_total", "Requests of callers by selector, verdict and error.",
+                      { { "selector", selector }, { "verdict", std::string(toString(outcome)) },
+                          { "error", std::string(error) } })
+                  .Increment();
+              metrics
+                  ->latency("heatherdrift_request_seconds", "Time from a caller's request to the end of its answer.",
+                      { { "selector", selector } })
+                  .Observe(std::chrono::duration<double>(latency).count());
+          };
     return hooks;
 }
 
@@ -247,25 +248,25 @@
 {
     executor_hooks hooks;
     hooks.now = m_hooks.now;
-    hooks.claimElsewhere = [this](const once_token& token, std::uint64_t fingerprint, const std::string& claimant,
-                               time_point deadline, std::function<void(result<claim_answer>)> done) {
-        claimElsewhere(token, fingerprint, claimant, deadline, std::move(done));
+    hooks.claimAtIssuer = [this](const once_token& token, std::uint64_t fingerprint, const std::string& claimant,
+                              time_point deadline, std::function<void(result<claim_answer>)> done) {
+        claimAtIssuer(token, fingerprint, claimant, deadline, std::move(done));
     };
     hooks.insertIntent = [this](const std::string& key, const std::string& requestId, time_point deadline,
                              std::function<void(result<void>)> done) {
         m_intents.emplace(m_nextIntent, std::move(done));
         m_hooks.toControlTask(insert_intent { m_nextIntent++, key, requestId, deadline });
     };
-    hooks.strikes
+    hooks.onStrikes
         = [this](std::vector<crash_strike> strikes) { m_hooks.toControlTask(new_strikes { std::move(strikes) }); };
-    hooks.backendFailed = [this] {
+    hooks.onBackendFailure = [this] {
         if (m_parts && m_parts->monitor)
             m_parts->monitor->checkNow();
     };
     return hooks;
 }
 
-void request_task::claimElsewhere(const once_token& token, std::uint64_t fingerprint, const std::string& claimant,
+void request_task::claimAtIssuer(const once_token& token, std::uint64_t fingerprint, const std::string& claimant,
     time_point deadline, std::function<void(result<claim_answer>)> done)
 {
     auto* client = m_snapshot ? m_parts->router.peers().find(*m_snapshot, token.issuer) : nullptr;
@@ -273,7 +274,7 @@
         return done(claim_answer {});
     fetch(*client, toClaimRequest(token, fingerprint, claimant, token.issuer), deadline, claimBodyLimit,
         [done = std::move(done)](const result<http_response>& response) {
-            // An issuer that cannot be asked may have let the token be used.
+            // An unreachable issuer may have granted the token before.
             if (response.has_error())
                 return done(claim_answer {});
             done(parseClaimAnswer(response.value()));
--- a/src/routing/once_ledger.h
+++ b/src/routing/once_ledger.h
@@ -14,7 +14,7 @@
 
 namespace heatherdrift {
 
-/// A token read from a request.
+/// Parsed token of a once call.
 struct once_token {
     instance_ref issuer;
     std::uint64_t sequence = 0;
@@ -28,27 +28,27 @@
 /// Fails with bad_request, not_run.
 result<once_token> parseToken(std::string_view);
 
-/// What became of the run that a token allowed.
+/// State of the run that a token permits.
 enum class run_state {
-    claimed, ///< Not handed to a backend server yet.
+    claimed, ///< Not sent to a backend server yet.
     started,
-    answered, ///< The backend server's whole answer was received.
-    unknown, ///< Started, and the answer was lost.
+    answered, ///< The backend server's complete response was received.
+    unknown, ///< Started, but the response was lost.
 };
 
 struct once_limits {
     duration tokenLife = std::chrono::minutes(5);
-    std::size_t tokens = 100000; ///< Tokens remembered at once; above that no new ones are issued.
-    std::size_t answerBytes = 4096; ///< Largest body of an answer that is kept for resends.
-    std::size_t keptBytes = 4 << 20; ///< All kept answers together.
+    std::size_t tokens = 100000; ///< Maximum number of recorded tokens; at this number no new ones are issued.
+    std::size_t answerBytes = 4096; ///< Maximum body size of a response that is kept for resends.
+    std::size_t keptBytes = 4 << 20; ///< Maximum size of all kept responses together.
 };
 
-/// Answer to a claim.
+/// Result of a claim.
 struct claim_answer {
     enum class kind {
         granted, ///< The claimant alone may run the request, once.
-        repeated, ///< The token was claimed before; `state` and `answer` tell the rest.
-        unknown, ///< The issuer cannot tell any more.
+        repeated, ///< The token was claimed before; see `state` and `answer`.
+        unknown, ///< The issuer is unreachable or no longer has a record of the token.
     };
 
     kind what = kind::unknown;
@@ -59,15 +59,16 @@
     bool operator==(const claim_answer&) const = default;
 };
 
-/// Permissions to run once calls. The issuer of a token is the only process that grants its claim, and grants it to one
-/// claimant, so a token is run at most once whatever happens to the ownership of its key meanwhile. Memory is bounded:
-/// a token older than its life is answered with `unknown`.
+/// Issues the tokens of once calls and records their runs. Only the issuer of a token grants its claim, and only to one
+/// claimant, so a token is run at most once even if its key changes owner in between. Memory is bounded: claims of
+/// tokens older than `tokenLife` are answered with `unknown`.
 class once_ledger {
 public:
-    /// The secret makes tokens of other processes and guesses recognisable; it is no cryptographic protection.
+    /// The secret seeds the check value that exposes guessed tokens and tokens of other processes. It is not
+    /// cryptographic protection.
     once_ledger(instance_ref self, std::uint64_t secret, once_limits);
 
-    /// Fails with `overloaded`, not_run, while too many tokens are remembered.
+    /// Fails with `overloaded`, not_run, while too many tokens are recorded.
     result<std::string> issue(time_point now);
 
     bool isOwn(const once_token&) const;
@@ -77,14 +78,14 @@
     result<claim_answer> claim(
         const once_token&, std::uint64_t fingerprint, const std::string& claimant, time_point now);
 
-    /// Remembers a claim that the issuer, another process, granted to a request of this process. Later claims of the
-    /// token at this process get the state of that run.
-    void adopt(const once_token&, std::uint64_t fingerprint, const std::string& claimant, time_point now);
-    /// The state of an adopted token, if there is one. Fails like claim().
-    result<std::optional<claim_answer>> findAdopted(
+    /// Records a claim that another process, the issuer, granted to a request of this process. Later claims of the
+    /// token at this process return the state of that run.
+    void addRemoteClaim(const once_token&, std::uint64_t fingerprint, const std::string& claimant, time_point now);
+    /// Result of claiming a token recorded by addRemoteClaim(), none if it was not recorded. Fails like claim().
+    result<std::optional<claim_answer>> findRemoteClaim(
         const once_token&, std::uint64_t fingerprint, const std::string& claimant);
 
-    /// It is proven that the claimed run did not happen; a resend may claim the token again.
+    /// Called when the claimed run provably did not happen; a resend may claim the token again.
     void release(const once_token&);
     void setStarted(const once_token&);
     void setUnknown(const once_token&);
@@ -107,9 +108,9 @@
     };
 
     std::uint64_t checkOf(const once_token&) const;
-    result<claim_answer> claimAgain(run&, std::uint64_t fingerprint, const std::string& claimant);
-    void remember(const std::string& token, run, time_point forgetAt);
-    void forgetOld(time_point now);
+    result<claim_answer> claimExisting(run&, std::uint64_t fingerprint, const std::string& claimant);
+    void insertRun(const std::string& token, run, time_point evictAt);
+    void evictExpired(time_point now);
     run* find(const once_token&);
 
     instance_ref m_self;
--- a/src/routing/peer_clients.h
+++ b/src/routing/peer_clients.h
@@ -8,16 +8,16 @@
 
 namespace heatherdrift {
 
-/// Connections to the forward listeners of other nodes, made when first needed.
+/// Connections to the forward listeners of other nodes, opened on first use.
 class peer_clients {
 public:
     peer_clients(event_base*, int maximumConnectionsPerPeer);
 
-    /// Null if the member is not known. The client is valid until the next call of forgetExcept().
+    /// Null if the snapshot does not contain the member. The client is valid until the next call of closeExcept().
     http_client* find(const routing_snapshot&, const instance_ref&);
 
-    /// Drops the connections to processes that are no longer members. Not to be called from within a handler of a call.
-    void forgetExcept(const routing_snapshot&);
+    /// Closes the connections to processes that are no longer members. Must not be called from a call's handler.
+    void closeExcept(const routing_snapshot&);
 
 private:
     event_base* m_base;
--- a/src/routing/request_task.h
+++ b/src/routing/request_task.h
@@ -33,8 +33,8 @@
     std::uint64_t seed = 0; ///< For jitter and the token secret; differs between processes.
 };
 
-/// Serves callers and other nodes. Owns the listeners, all request connections and all state of requests; runs on one
-/// event loop and is spoken to by messages only.
+/// Serves callers and other nodes. Owns the listeners, all request connections and all request state; runs on one event
+/// loop and is controlled by messages only.
 class request_task {
 public:
     /// Binds both listeners. Fails with invalid_settings.
@@ -73,7 +73,7 @@
     entry_hooks makeEntryHooks();
     executor_hooks makeExecutorHooks();
     void connectBackend();
-    void claimElsewhere(const once_token&, std::uint64_t fingerprint, const std::string& claimant, time_point deadline,
+    void claimAtIssuer(const once_token&, std::uint64_t fingerprint, const std::string& claimant, time_point deadline,
         std::function<void(result<claim_answer>)>);
     void sample();
     void dropRetired();
@@ -90,7 +90,7 @@
     bool m_isDraining = false;
     retry_budget m_retries;
     std::unique_ptr<incarnation_parts> m_parts;
-    std::vector<std::unique_ptr<incarnation_parts>> m_retired; ///< Until their calls have ended.
+    std::vector<std::unique_ptr<incarnation_parts>> m_retired; ///< Kept until their calls have ended.
     std::uint64_t m_nextIntent = 1;
     std::map<std::uint64_t, std::function<void(result<void>)>> m_intents;
     timer m_sample;
--- a/src/routing/routing_snapshot.h
+++ b/src/routing/routing_snapshot.h
@@ -9,7 +9,7 @@
 
 namespace heatherdrift {
 
-/// What the request task needs to know of one member.
+/// Routing data of one member.
 struct member_route {
     instance_ref self;
     endpoint forward;
@@ -21,9 +21,10 @@
     bool operator==(const member_route&) const = default;
 };
 
-/// Where requests go, as this node knows it. Immutable; posted to the request task after each change.
+/// Routing state of this node at one point in time. Immutable; a new one is posted to the request task after each
+/// change.
 struct routing_snapshot {
-    std::uint64_t sequence = 0; ///< Grows with each snapshot of this process.
+    std::uint64_t sequence = 0; ///< Increases with each snapshot of this process.
     instance_ref self;
     configuration_ptr configuration;
     partition_map partitions;
--- a/src/routing/task_messages.h
+++ b/src/routing/task_messages.h
@@ -15,11 +15,12 @@
 
 // Messages from the control task to the request task.
 
-/// Serve as this process from now on. Calls of the process before it go on, but nothing new is started for it.
+/// Serves under this incarnation from now on. Calls of the previous incarnation continue, but no new ones are started
+/// for it.
 struct become_process {
     instance_ref self;
 };
-/// Start nothing more as this process and cancel the calls that need ownership for their run; answered with
+/// Starts no more calls under this incarnation and cancels those that need ownership for their whole run. Answered with
 /// serving_stopped.
 struct stop_serving {
     instance_ref self;
@@ -31,11 +32,11 @@
     instance_ref self;
     time_point end;
 };
-/// Empty: there is no backend server.
+/// Empty if there is no backend server.
 struct backend_update {
     std::optional<backend_description> backend;
 };
-/// Answered with partition_quiet.
+/// Answered with partition_quiet when no call holds the partition any more.
 struct stop_partition {
     partition_id partition;
 };
@@ -62,7 +63,7 @@
 struct partition_quiet {
     partition_id partition;
 };
-/// Whether the backend server answers.
+/// Result of the backend server's health checks.
 struct backend_state {
     bool isAnswering = false;
 };
--- a/src/routing/tests/call_test.cpp
+++ b/src/routing/tests/call_test.cpp
@@ -32,7 +32,7 @@
         error_code expected;
     };
 
-    // Guards against bad input that is run, or refused with a verdict that makes the caller doubt.
+    // Guards against invalid input that is run, or refused with another verdict than not_run.
     TEST(Call, BadInputIsNotRun)
     {
         const bad_call cases[] = {
@@ -64,7 +64,7 @@
         }
     }
 
-    TEST(Call, TakesTheDeadlineOnceAndNeverAboveTheSelectors)
+    TEST(Call, DeadlineIsLimitedByTheSelectorsTimeout)
     {
         auto request = lookup();
         EXPECT_EQ(parseCall(request, "r", sampleConfiguration(), now).value().deadline, now + std::chrono::seconds(2));
@@ -75,8 +75,8 @@
         EXPECT_EQ(parseCall(request, "r", sampleConfiguration(), now).value().deadline, now + std::chrono::seconds(2));
     }
 
-    // Guards against a caller that poses as a node towards the backend server, and against connection headers passed
-    // on.
+    // Guards against a caller that impersonates a node to the backend server, and against forwarded connection
+    // headers.
     TEST(Call, CallersCannotSetTheSystemsHeaders)
     {
         auto request = lookup();
@@ -96,7 +96,7 @@
     {
         auto source = parseCall(lookup(), "r", sampleConfiguration(), now).value();
         source.token = "t";
-        source.customer = "c";
+        source.workspace = "c";
         const call_target target { { "owner", 7 } };
         const auto [parsed, parsedTarget]
             = parseForwardedCall(toForwardedRequest(source, target, now), sampleConfiguration(), now).value();
@@ -111,14 +111,14 @@
         EXPECT_EQ(sent.headers.find("heatherdrift-grant"), "records/5/9/123");
     }
 
-    TEST(Call, FailureSurvivesItsAnswer)
+    TEST(Call, FailureResponseParsesToTheSameFailure)
     {
         const auto reason = mayHaveRun(error_code::connection_lost, "lost");
         const auto parsed = parseFailure(toFailureResponse(reason, "r").head);
         ASSERT_TRUE(parsed);
         EXPECT_EQ(parsed->outcome, reason.outcome);
         EXPECT_EQ(parsed->code, reason.code);
-        // Guards against an unreadable verdict that is taken for proof.
+        // Guards against an invalid verdict that is taken for proof that the call did not run.
         http_response_head unreadable { 503,
             { { "heatherdrift-error", "overloaded" }, { "heatherdrift-verdict", "?" } } };
         EXPECT_EQ(parseFailure(unreadable)->outcome, verdict::may_have_run);
--- a/src/routing/tests/once_ledger_test.cpp
+++ b/src/routing/tests/once_ledger_test.cpp
@@ -25,7 +25,7 @@
         EXPECT_EQ(second.claimant, "first");
     }
 
-    // Guards against a lost answer to a claim that leaves the token unusable although nothing ran.
+    // Guards against a token that becomes unusable without a run because the response to its claim was lost.
     TEST(OnceLedger, ClaimantMayRepeatItsClaimUntilItStarts)
     {
         once_ledger ledger(self, secret, {});
@@ -49,8 +49,8 @@
         EXPECT_EQ(again.answer, answer);
     }
 
-    // Guards against an answer handed to a caller that asked for something else with the same token.
-    TEST(OnceLedger, ATokenSpentOnAnotherRequestIsRefused)
+    // Guards against returning the kept response to a different request with the same token.
+    TEST(OnceLedger, ATokenUsedForAnotherRequestIsRefused)
     {
         once_ledger ledger(self, secret, {});
         const auto token = issueAt(ledger, at(0));
@@ -65,7 +65,7 @@
         once_token token;
     };
 
-    // Guards against tokens that this process never issued.
+    // Guards against accepting tokens that this process never issued.
     TEST(OnceLedger, RejectsTokensThatItDidNotIssue)
     {
         once_ledger ledger(self, secret, {});
@@ -95,7 +95,7 @@
         }
     }
 
-    // Guards against a token that is granted again after its run was forgotten.
+    // Guards against granting a token again after the record of its run was evicted.
     TEST(OnceLedger, AnOldTokenIsNeverGranted)
     {
         once_limits limits;
@@ -109,7 +109,7 @@
         EXPECT_EQ(ledger.size(), 0u);
     }
 
-    // Guards against unbounded memory: above the limit tokens are refused, none is forgotten early.
+    // Guards against unbounded memory: at the limit new tokens are refused and no record is evicted early.
     TEST(OnceLedger, RefusesNewTokensAboveItsLimit)
     {
         once_limits limits;
@@ -122,8 +122,8 @@
         EXPECT_EQ(ledger.claim(spare, fingerprint, "c", at(2)).error().code, error_code::overloaded);
     }
 
-    // Guards against a once call that runs twice: claims, releases, restarts of the claimant and late claims in any
-    // order lead to at most one started run of a token that is not proven not to have run.
+    // Guards against a once call that runs twice. In any order of claims, releases, restarts of the claimant and late
+    // claims, a token is not granted again after a started run, unless that run provably did not happen.
     RC_GTEST_PROP(OnceLedger, AtMostOneRunPerToken, ())
     {
         once_ledger ledger(self, secret, {});
--- a/src/routing/tests/request_ledger_test.cpp
+++ b/src/routing/tests/request_ledger_test.cpp
@@ -10,14 +10,14 @@
     request_ledger_limits smallLimits()
     {
         request_ledger_limits limits;
-        limits.keep = std::chrono::milliseconds(1000);
-        limits.keepRefusals = std::chrono::milliseconds(3000);
+        limits.recordRetention = std::chrono::milliseconds(1000);
+        limits.refusalRetention = std::chrono::milliseconds(3000);
         limits.requests = 4;
         limits.refusals = 2;
         return limits;
     }
 
-    // Guards against "not run" for a request that arrives after the inquiry and runs then.
+    // Guards against reporting "refused" for a request that arrives after the inquiry and is then run.
     TEST(RequestLedger, ARefusedRequestNeverBegins)
     {
         request_ledger ledger(smallLimits());
@@ -26,7 +26,7 @@
         EXPECT_EQ(ledger.inquire("r", at(10), at(40)), request_state::refused);
     }
 
-    TEST(RequestLedger, TellsRunningFromAnswered)
+    TEST(RequestLedger, DistinguishesRunningFromAnswered)
     {
         request_ledger ledger(smallLimits());
         EXPECT_TRUE(ledger.begin("r", at(10)));
@@ -44,18 +44,18 @@
         EXPECT_FALSE(ledger.begin("r", at(13)));
     }
 
-    // Guards against "not run" for a request whose record was dropped.
-    TEST(RequestLedger, ForgottenRequestsAreUnknown)
+    // Guards against reporting "refused" for a request whose record was evicted.
+    TEST(RequestLedger, EvictedRequestsAreUnknown)
     {
         request_ledger ledger(smallLimits());
         ledger.begin("old", at(10));
         ledger.finish("old", request_state::answered, at(20));
         EXPECT_EQ(ledger.inquire("old", at(10), at(1100)), request_state::unknown);
-        // A request sent after the last forgotten one ended is still judged.
+        // A request sent after the last evicted one ended can still be answered.
         EXPECT_EQ(ledger.inquire("new", at(1050), at(1100)), request_state::refused);
     }
 
-    TEST(RequestLedger, RequestsDroppedForSpaceAreUnknown)
+    TEST(RequestLedger, RequestsEvictedForSpaceAreUnknown)
     {
         request_ledger ledger(smallLimits());
         for (int i = 0; i < 8; ++i) {
@@ -67,7 +67,7 @@
         EXPECT_EQ(ledger.inquire("7", at(17), at(30)), request_state::answered);
     }
 
-    TEST(RequestLedger, RefusesOnlyAsManyAsItRemembers)
+    TEST(RequestLedger, RefusesNoMoreThanItsLimit)
     {
         request_ledger ledger(smallLimits());
         EXPECT_EQ(ledger.inquire("a", at(10), at(20)), request_state::refused);
@@ -75,7 +75,7 @@
         EXPECT_EQ(ledger.inquire("c", at(10), at(20)), request_state::unknown);
     }
 
-    // Guards against a refusal that ends while the process is paused, with the request still in a socket buffer.
+    // Guards against a refusal that expires while the process is paused and the request is still in a socket buffer.
     TEST(RequestLedger, APauseDoesNotEndRefusals)
     {
         request_ledger ledger(smallLimits());
--- a/src/routing/tests/request_path_fixture.h
+++ b/src/routing/tests/request_path_fixture.h
@@ -8,14 +8,14 @@
 
 namespace heatherdrift {
 
-/// A node's request task with what its control task would do, played by the test.
+/// A node's request task. The test takes the place of the control task; `sent` holds the messages to it.
 struct test_node {
     instance_ref self;
     std::unique_ptr<request_task> task;
     std::vector<to_control_task> sent;
 };
 
-/// Backend server whose answers the test decides.
+/// Backend server whose responses the test sets with `answer`.
 struct test_backend {
     std::unique_ptr<http_server> server;
     int requests = 0;
@@ -25,7 +25,7 @@
 };
 
 /// Two nodes, "a" and "b", in one pool with four selectors, on one event loop with real connections. The test posts
-/// what the control tasks would.
+/// the messages of their control tasks.
 class RequestPathTest : public testing::Test {
 protected:
     void SetUp() override
@@ -89,7 +89,7 @@
         nodes[name].task->post(lease_update { nodes[name].self, end });
     }
 
-    /// Gives all partitions to the node, with a higher epoch.
+    /// Assigns all partitions to the node with a higher epoch.
     void assignAll(const std::string& owner)
     {
         page_row page { "p", 0, std::vector<page_entry>(4), {}, "" };
@@ -111,7 +111,7 @@
             snapshot->configuration = current;
             snapshot->partitions = m_partitions;
             for (auto& [id, member] : nodes) {
-                const auto forward = member.task ? member.task->forwardAddress() : goneAddress;
+                const auto forward = member.task ? member.task->forwardAddress() : unreachableAddress;
                 snapshot->members[id] = { member.self, forward, "p", "r", "z", true };
             }
             if (node.task)
@@ -198,7 +198,7 @@
     std::map<std::string, test_node> nodes;
     std::vector<std::optional<result<http_response>>> answers;
     std::vector<http_call_ptr> calls;
-    endpoint goneAddress { "127.0.0.1", 1 };
+    endpoint unreachableAddress { "127.0.0.1", 1 };
 
 private:
     partition_map m_partitions;
--- a/src/routing/tests/request_path_test.cpp
+++ b/src/routing/tests/request_path_test.cpp
@@ -7,7 +7,7 @@
 
     http_headers timeout(const char* milliseconds) { return { { header::timeoutMilliseconds, milliseconds } }; }
 
-    // Guards against an answer that belongs to another caller's request.
+    // Guards against returning the response of another caller's request.
     TEST_F(RequestPathTest, EachCallerGetsItsOwnAnswerThroughAnyNode)
     {
         std::vector<std::size_t> sent;
@@ -24,7 +24,8 @@
         EXPECT_EQ(backends["a"].requests, 0);
     }
 
-    // Guards against work started without a valid lease, and against a refusal that leaves open whether it ran.
+    // Guards against a call that is started without a valid lease, and against a refusal with another verdict than
+    // not_run.
     TEST_F(RequestPathTest, OwnerWithoutALeaseRunsNothing)
     {
         setLease("b", boot_clock::now() - std::chrono::seconds(1));
@@ -32,7 +33,7 @@
         const auto refused = forward("b", "lookup");
         EXPECT_EQ(verdictOf(refused), "not_run");
         EXPECT_EQ(errorOf(refused), toString(error_code::lease_expired));
-        // An entry node whose attempt is on its way at the deadline cannot know what the owner does with it.
+        // If the deadline passes while an attempt is in flight, the entry node cannot determine its outcome.
         EXPECT_NE(verdictOf(request("a", "lookup", timeout("300"))), "ran");
         EXPECT_EQ(backends["b"].requests, 0);
         const auto waiting = send("a", "lookup");
@@ -41,7 +42,7 @@
         EXPECT_EQ(verdictOf(wait(waiting)), "ran");
     }
 
-    // Guards against calls that fail although their key only changes its owner.
+    // Guards against calls that fail because their key changes its owner.
     TEST_F(RequestPathTest, CallsWaitForTheNewOwner)
     {
         setLease("b", boot_clock::now() - std::chrono::seconds(1));
@@ -73,8 +74,8 @@
         const char* onceError;
     };
 
-    // Either side of the point up to which `not_run` can be said. Guards against "not run" for a call that reached the
-    // backend server, and against a second run of a once call.
+    // Guards against the verdict not_run for a call that reached the backend server, and against a second run of a once
+    // call. Covers failures before and after the point up to which not_run is possible.
     TEST_F(RequestPathTest, FaultsOfTheBackendServer)
     {
         const backend_fault faults[] = {
@@ -93,11 +94,11 @@
         };
         for (const auto& fault : faults) {
             backends["b"].answer = nullptr;
-            const auto permission = token("a");
+            const auto issuedToken = token("a");
             backends["b"].answer = fault.answer;
             const int before = backends["b"].requests;
             auto headers = timeout("400");
-            headers.add(header::token, permission);
+            headers.add(header::token, issuedToken);
             const auto answer = request("a", "once", headers);
             EXPECT_EQ(verdictOf(answer), fault.onceVerdict) << fault.name;
             EXPECT_EQ(errorOf(answer), fault.onceError) << fault.name;
@@ -131,14 +132,14 @@
             EXPECT_EQ(again.body, first.body);
         }
         EXPECT_EQ(backends["b"].requests, 1);
-        // Guards against the kept answer handed to a request with the same token and another body.
+        // Guards against returning the kept response to a request with the same token and another body.
         const auto other = request("a", "once", headers, "other body");
         EXPECT_EQ(verdictOf(other), "not_run");
         EXPECT_EQ(errorOf(other), "bad_request");
     }
 
-    // Guards against a second run after the key moved: the new owner asks the issuer.
-    TEST_F(RequestPathTest, TokenStaysGoodForOneRunAfterAMove)
+    // Guards against a second run after the key moved to another owner, which must claim the token at its issuer.
+    TEST_F(RequestPathTest, TokenRemainsValidForOneRunAfterAMove)
     {
         http_headers unused { { header::token, token("a") } };
         http_headers used { { header::token, token("a") } };
@@ -153,7 +154,7 @@
         EXPECT_EQ(backends["b"].requests, 1);
     }
 
-    // Guards against "not run" when nobody can tell any more whether the token was used.
+    // Guards against the verdict not_run when the issuer restarted and its record of the token's use is lost.
     TEST_F(RequestPathTest, TokenOfALostIssuerMayHaveRun)
     {
         http_headers used { { header::token, token("a") } };
@@ -166,13 +167,13 @@
         EXPECT_EQ(backends["b"].requests, 1);
     }
 
-    // The owner's node is lost on either side of the point at which the call reaches the backend server.
+    // Guards against a wrong verdict when the owner's node fails, before or after the call reaches the backend server.
     TEST_F(RequestPathTest, OwnersNodeLostBeforeAndAfterTheCallArrives)
     {
-        const auto permission = token("a");
+        const auto issuedToken = token("a");
         backends["b"].answer = [&](http_exchange_ptr exchange) { backends["b"].held.push_back(std::move(exchange)); };
         auto headers = timeout("1500");
-        headers.add(header::token, permission);
+        headers.add(header::token, issuedToken);
         const auto running = send("a", "once", headers);
         runUntil([&] { return backends["b"].held.size() == 1; });
         nodes["b"].task.reset();
@@ -182,8 +183,8 @@
         EXPECT_EQ(backends["b"].requests, 1);
     }
 
-    // Guards against work that goes on for a caller that left.
-    TEST_F(RequestPathTest, CallerThatLeavesCancelsItsWork)
+    // Guards against calls that continue after their caller has disconnected.
+    TEST_F(RequestPathTest, DisconnectOfTheCallerCancelsTheCall)
     {
         backends["b"].answer = [&](http_exchange_ptr exchange) { backends["b"].held.push_back(std::move(exchange)); };
         const auto index = send("a", "lookup");
@@ -192,8 +193,8 @@
         runUntil([&] { return backends["b"].closed == 1; });
     }
 
-    // Guards against a call that keeps running without ownership, and against a stream that is cut although it needed
-    // ownership only when it started.
+    // Guards against a call that keeps running without ownership, and against cancelling a stream that needs ownership
+    // only at its start.
     TEST_F(RequestPathTest, EndOfTheLeaseCancelsOnlyCallsThatNeedOwnershipForTheirRun)
     {
         backends["b"].answer = [&](http_exchange_ptr exchange) {
@@ -214,8 +215,8 @@
         EXPECT_EQ(wait(stream).body, "part rest");
     }
 
-    // Guards against a hand-over that cuts a stream, or that waits for one.
-    TEST_F(RequestPathTest, HandOverNeitherCutsNorAwaitsStreams)
+    // Guards against a partition transfer that interrupts a stream or waits for one.
+    TEST_F(RequestPathTest, PartitionTransferNeitherInterruptsNorAwaitsStreams)
     {
         backends["b"].answer = [&](http_exchange_ptr exchange) {
             backends["b"].held.push_back(exchange);
@@ -252,8 +253,8 @@
         EXPECT_EQ(backends["b"].requests, 0);
     }
 
-    // Guards against a process that serves on after it was fenced.
-    TEST_F(RequestPathTest, StoppedProcessServesNothingMore)
+    // Guards against a process that continues to serve after it was fenced.
+    TEST_F(RequestPathTest, StoppedProcessStartsNoCalls)
     {
         nodes["b"].task->post(stop_serving { nodes["b"].self });
         runUntil([&] { return !nodes["b"].sent.empty(); });
