--- a/src/control/control_node.h
+++ b/src/control/control_node.h
@@ -15,7 +15,7 @@
 
 namespace heatherdrift {
 
-/// What a node tells of itself when it registers.
+/// Identity and addresses that a node writes into its member row when it registers.
 struct node_identity {
     instance_id instance;
     std::string region;
@@ -26,21 +26,21 @@
     endpoint admin;
 };
 
-/// Ports and hooks of a control_node; they outlive it.
+/// Dependencies and callbacks of a control_node. They must outlive it.
 struct control_ports {
     clock_function now;
     table_store* store = nullptr;
     resolving_store* resolving = nullptr;
     peer_transport* transport = nullptr;
-    /// Names the process for the control messages that it sends.
+    /// Sets the sender identity of outgoing control messages.
     std::function<void(const instance_ref&)> identify;
     std::function<void(to_request_task)> toRequestTask;
-    /// The drain is complete: nothing is owned and the row says `left`.
+    /// Called when the drain is complete: the instance owns nothing and its row has the state `left`.
     std::function<void()> left;
-    std::uint64_t seed = 0; ///< For operation ids and jitter; differs between processes.
+    std::uint64_t seed = 0; ///< For operation ids and jitter; must differ between processes.
 };
 
-/// State of one node for operators.
+/// Status of one node, for operators.
 struct node_status {
     instance_ref self;
     bool isRegistered = false;
@@ -57,36 +57,38 @@
     bool operator==(const node_status&) const = default;
 };
 
-/// The control task's decisions: membership, lease, witnessing, takeovers, assignment, configuration and replication.
-/// Single-threaded; driven by tick(), by messages and by the store's answers. When the process is fenced or superseded
-/// it stops serving and registers as a new incarnation.
+/// Logic of the control task: membership, lease, witnessing, takeovers, assignment, configuration and replication.
+/// Single-threaded; driven by tick(), messages and store responses. A process that is fenced or superseded stops
+/// serving and registers as a new incarnation.
 class control_node {
 public:
     virtual ~control_node() = default;
 
     static std::unique_ptr<control_node> create(node_identity, const lease_settings&, control_ports);
 
-    /// Begins to register. All listeners must be bound.
+    /// Starts the registration. All listeners must be bound.
     virtual void start() = 0;
-    /// To be called every tickInterval.
+    /// Must be called every tickInterval.
     virtual void tick() = 0;
     virtual void onRequestTask(const to_control_task&) = 0;
     virtual void onAnnouncement(const backend_description&) = 0;
-    /// Moves everything to other instances, then leaves.
+    /// Moves all partitions to other instances, then marks the own row as `left`.
     virtual void drain() = 0;
 
-    /// Makes a configuration the next version. Success: its version. Failures: invalid_configuration, `conflict` that
-    /// names the version to look at, store_unavailable; may_have_run if the outcome is unknown at the deadline.
+    /// Stores a configuration as version baseVersion + 1 and returns that version. Fails with invalid_configuration,
+    /// with `conflict` (the message names the conflicting version) or with store_unavailable; the verdict is
+    /// may_have_run if the outcome is unknown at the deadline.
     virtual void applyConfiguration(
         configuration next, std::int64_t baseVersion, std::function<void(result<std::int64_t>)>)
         = 0;
-    /// Reads a version from the store, the present one or an older one. Failures: not_found, store_unavailable.
+    /// Reads the current or an older version from the store. Fails with not_found or store_unavailable.
     virtual void readConfiguration(std::int64_t version, std::function<void(result<configuration>)>) = 0;
-    /// States that the instance's process does not run and will not resume. Fails with not_found.
+    /// Operator's confirmation that the instance's process has stopped and will not resume; starts its takeover. Fails
+    /// with not_found.
     virtual result<void> declareLost(const instance_id&) = 0;
 
     virtual node_status status() const = 0;
-    /// The parsed rows as this node knows them.
+    /// Routing view of this node's replica; null until the node has registered.
     virtual routing_snapshot_ptr snapshot() const = 0;
     virtual std::vector<versioned_member> members() const = 0;
 };
--- a/src/control/internal/assignment_driver.cpp
+++ b/src/control/internal/assignment_driver.cpp
@@ -9,20 +9,20 @@
 
 namespace {
 
-    /// A plan over 16,384 partitions and 690 members takes about 2 ms per pool, so plans are made only after a change
-    /// or while something is left to do, and not more often than this.
+    /// Planning for 16,384 partitions and 690 members takes about 2 ms per pool, so it runs only after a change or
+    /// while repairs are pending, and at most once per interval.
     constexpr duration repairInterval = std::chrono::milliseconds(100);
     constexpr duration fullRepairInterval = std::chrono::seconds(10);
-    constexpr duration slowInterval = std::chrono::seconds(1);
-    /// Reports are spaced so that the coordinator of a pool of n members receives about 15 per second, and never rarer
-    /// than half their validity.
+    constexpr duration balanceInterval = std::chrono::seconds(1);
+    /// With n members in a pool, each reports every n * 65 ms, so its coordinator receives about 15 reports per second.
+    /// The maximum interval is half the validity of a report.
     constexpr duration reportSpacing = std::chrono::milliseconds(65);
-    constexpr duration shortestReportInterval = std::chrono::seconds(2);
-    constexpr duration longestReportInterval = std::chrono::seconds(15);
-    /// Calls that need ownership for their run may keep a partition this long before they are cancelled.
-    constexpr duration longestHandOver = std::chrono::seconds(30);
-    /// Partitions of one page that a drain moves at once.
-    constexpr std::size_t partitionsPerMove = 64;
+    constexpr duration minReportInterval = std::chrono::seconds(2);
+    constexpr duration maxReportInterval = std::chrono::seconds(15);
+    /// Calls that need ownership while they run can delay a move for this time; then they are cancelled.
+    constexpr duration handOverTimeout = std::chrono::seconds(30);
+    /// Maximum number of partitions of one page that a drain moves at once.
+    constexpr std::size_t maxPartitionsPerMove = 64;
 
     std::vector<heavy_hitter> toHitters(const std::map<std::string, double>& keys)
     {
@@ -61,8 +61,8 @@
     const auto& current = m_context.view.current();
     if (!current)
         return;
-    if (m_context.view.revision() != m_seenRevision) {
-        m_seenRevision = m_context.view.revision();
+    if (m_context.view.revision() != m_lastRevision) {
+        m_lastRevision = m_context.view.revision();
         m_capacityRamp.onMembers(m_context.view.members(), now);
         m_isRepairDue = true;
     }
@@ -71,13 +71,13 @@
         m_nextFullRepair = now + fullRepairInterval;
         m_isRepairDue = false;
         for (const auto& pool : current->pools) {
-            const bool isRepairLeft = repair(pool, now);
-            const bool isHandOverLeft = handOverForeign(pool, now);
-            m_isRepairDue = m_isRepairDue || isRepairLeft || isHandOverLeft;
+            const bool isRepairPending = repair(pool, now);
+            const bool isHandOverPending = handOverMisplaced(pool, now);
+            m_isRepairDue = m_isRepairDue || isRepairPending || isHandOverPending;
         }
     }
-    if (now >= m_nextSlow) {
-        m_nextSlow = now + slowInterval;
+    if (now >= m_nextBalance) {
+        m_nextBalance = now + balanceInterval;
         for (const auto& pool : current->pools) {
             balance(pool, now);
             handleHotKeys(pool, now);
@@ -87,7 +87,7 @@
         reportLoad(now);
 }
 
-bool assignment_driver::isMine(
+bool assignment_driver::isCoordinator(
     const std::string& pool, std::uint32_t page, const std::vector<pool_member>& eligible) const
 {
     const auto* coordinator = coordinatorOf(pool, page, eligible);
@@ -112,8 +112,8 @@
 
 bool assignment_driver::repair(const pool_configuration& pool, time_point now)
 {
-    // A pool that is assigned for the first time has no warm members that could carry more for the cold ones; with
-    // ramps the member seen first would get most of the partitions.
+    // On the first assignment of a pool no member is warmed up, so capacity ramps are not used: with them the member
+    // that was seen first would get most of the partitions.
     const auto eligible = m_context.view.eligible(pool, isComplete(pool) ? rampAt(now) : ramp_function());
     if (eligible.empty())
         return false;
@@ -126,7 +126,7 @@
             continue;
         const auto page = m_context.view.partitions().page(pool.name, step.page).value_or(absentPage(pool, step.page));
         const bool isTakenOver = hasLostOwner(page);
-        if (!isTakenOver && !isMine(pool.name, step.page, eligible))
+        if (!isTakenOver && !isCoordinator(pool.name, step.page, eligible))
             continue;
         if (!isTakenOver && schedule.repairAt(page, m_context.view.members(), now) > now)
             continue;
@@ -151,7 +151,7 @@
     });
 }
 
-bool assignment_driver::handOverForeign(const pool_configuration& pool, time_point now)
+bool assignment_driver::handOverMisplaced(const pool_configuration& pool, time_point now)
 {
     const auto* chosen = ownPool();
     const auto* own = m_context.view.findMember(m_self.id);
@@ -162,9 +162,9 @@
         return false;
     const auto eligible = m_context.view.eligible(pool, rampAt(now));
     for (auto step : planDrain(pool, m_context.view.partitions(), m_self, eligible)) {
-        if (step.assignments.size() > partitionsPerMove)
-            step.assignments.resize(partitionsPerMove);
-        m_moves.begin(pool.name, std::move(step.assignments), now + longestHandOver);
+        if (step.assignments.size() > maxPartitionsPerMove)
+            step.assignments.resize(maxPartitionsPerMove);
+        m_moves.begin(pool.name, std::move(step.assignments), now + handOverTimeout);
     }
     return true;
 }
@@ -180,17 +180,17 @@
 void assignment_driver::balance(const pool_configuration& pool, time_point now)
 {
     const auto eligible = m_context.view.eligible(pool, rampAt(now));
-    if (!isMine(pool.name, 0, eligible))
+    if (!isCoordinator(pool.name, 0, eligible))
         return;
     auto& work = m_pools[pool.name];
     for (const auto& move : work.balancing.propose(pool, m_context.view.partitions(), eligible, now))
-        ask(pool.name, move, now);
+        requestMove(pool.name, move, now);
 }
 
-void assignment_driver::ask(const std::string& pool, const proposed_move& move, time_point now)
+void assignment_driver::requestMove(const std::string& pool, const proposed_move& move, time_point now)
 {
     if (move.from == m_self)
-        return moveOne(pool, move.partition, move.to.id, now);
+        return movePartition(pool, move.partition, move.to.id, now);
     wire::MoveRequest request;
     request.__set_pool(pool);
     request.__set_partition(static_cast<std::int32_t>(move.partition));
@@ -200,13 +200,13 @@
     m_context.send(move.from, message);
 }
 
-void assignment_driver::moveOne(
+void assignment_driver::movePartition(
     const std::string& pool, partition_index partition, const instance_id& target, time_point now)
 {
     const auto found = m_context.view.partitions().find(pool, partition);
     if (!found || !found->isOwnedBy(m_self) || target == m_self.id)
         return;
-    m_moves.begin(pool, { { partition, target } }, now + longestHandOver);
+    m_moves.begin(pool, { { partition, target } }, now + handOverTimeout);
 }
 
 void assignment_driver::onLoad(const load_sample& sample, time_point)
@@ -219,12 +219,12 @@
 void assignment_driver::reportLoad(time_point now)
 {
     const auto* pool = ownPool();
-    m_nextReport = now + shortestReportInterval;
+    m_nextReport = now + minReportInterval;
     if (!pool)
         return;
     const auto eligible = m_context.view.eligible(*pool, rampAt(now));
     const auto spaced = reportSpacing * static_cast<duration::rep>(eligible.size());
-    m_nextReport = now + std::clamp(spaced, shortestReportInterval, longestReportInterval);
+    m_nextReport = now + std::clamp(spaced, minReportInterval, maxReportInterval);
     const auto* coordinator = coordinatorOf(pool->name, 0, eligible);
     if (!coordinator)
         return;
@@ -248,13 +248,13 @@
 
 void assignment_driver::acceptReport(const load_report& report, const std::string& pool, time_point now)
 {
-    const auto* known = m_context.view.current() ? m_context.view.current()->findPool(pool) : nullptr;
-    if (!known)
+    const auto* poolConfiguration = m_context.view.current() ? m_context.view.current()->findPool(pool) : nullptr;
+    if (!poolConfiguration)
         return;
     auto& work = m_pools[pool];
-    work.balancing.onReport(report, *known, m_context.view.partitions(), now);
-    const auto members = m_context.view.eligible(*known, rampAt(now)).size();
-    // Exponential mean over the members' reports; one report has the weight of one member.
+    work.balancing.onReport(report, *poolConfiguration, m_context.view.partitions(), now);
+    const auto members = m_context.view.eligible(*poolConfiguration, rampAt(now)).size();
+    // Exponential moving average over the members' reports; each report has the weight 1 / members.
     const double weight = 1.0 / static_cast<double>(std::max<std::size_t>(members, 1));
     work.meanLoad = work.meanLoad == 0 ? report.load : work.meanLoad + weight * (report.load - work.meanLoad);
 }
@@ -278,7 +278,7 @@
         m_pools[message.poolLoad.pool].meanLoad = message.poolLoad.meanBusySlots;
     } else if (message.__isset.moveRequest) {
         const auto& request = message.moveRequest;
-        moveOne(request.pool, static_cast<partition_index>(request.partition), request.target.id, now);
+        movePartition(request.pool, static_cast<partition_index>(request.partition), request.target.id, now);
     } else {
         return false;
     }
@@ -296,7 +296,7 @@
 void assignment_driver::perform(const pool_configuration& pool, const hot_key_action& action, time_point now)
 {
     if (action.what == hot_key_action::kind::move_home)
-        return moveOne(pool.name, action.partition, action.target, now);
+        return movePartition(pool.name, action.partition, action.target, now);
     const auto& partitions = m_context.view.partitions();
     const auto number = pageOf(partitionOf(action.key, pool.partitions));
     const auto ordinary = partitions.page(pool.name, number);
--- a/src/control/internal/assignment_driver.h
+++ b/src/control/internal/assignment_driver.h
@@ -17,17 +17,17 @@
 
 namespace heatherdrift {
 
-/// Decides on assignments: repairs the pages that this node coordinates or takes over, balances the pools that it
-/// coordinates, and hands over its own partitions when it drains, leaves a pool or is asked to.
+/// Assigns partitions: repairs the pages that this node coordinates or takes over, balances the pools that it
+/// coordinates, and hands over its own partitions when it drains, leaves a pool or receives a move request.
 class assignment_driver {
 public:
     assignment_driver(control_context&, page_writer&, takeover_driver&, move_driver&, instance_ref self);
 
     void tick(time_point now);
-    /// True if the message was one of this class.
+    /// Returns whether this class handles messages of this kind.
     bool onMessage(const instance_ref& sender, const wire::Message&);
     void onLoad(const load_sample&, time_point now);
-    /// Whether everything is to be handed over.
+    /// Sets whether all own partitions are to be handed over.
     void setDraining(bool isDraining)
     {
         m_isRepairDue = m_isRepairDue || isDraining != m_isDraining;
@@ -39,27 +39,27 @@
     struct pool_work {
         balancer balancing;
         hot_key_policy hotKeys;
-        std::map<std::string, double> keys; ///< Of the last sample.
-        double meanLoad = 0; ///< Of an instance of the pool, as its coordinator says.
+        std::map<std::string, double> keys; ///< Load by key in the last sample.
+        double meanLoad = 0; ///< Mean load per instance of the pool, as computed by its coordinator.
     };
 
     ramp_function rampAt(time_point now) const;
     /// Whether every partition of the pool has been assigned at least once.
     bool isComplete(const pool_configuration&) const;
-    /// Returns whether something remains to be assigned.
+    /// Returns whether the plan had steps, so that repair must run again.
     bool repair(const pool_configuration&, time_point now);
-    bool isMine(const std::string& pool, std::uint32_t page, const std::vector<pool_member>&) const;
+    bool isCoordinator(const std::string& pool, std::uint32_t page, const std::vector<pool_member>&) const;
     bool hasLostOwner(const versioned_page&) const;
     void write(const pool_configuration&, const placement_step&);
     void balance(const pool_configuration&, time_point now);
-    /// Returns whether this instance owns partitions that it is to hand over.
-    bool handOverForeign(const pool_configuration&, time_point now);
+    /// Returns whether this instance owns partitions of the pool that it must hand over.
+    bool handOverMisplaced(const pool_configuration&, time_point now);
     void handleHotKeys(const pool_configuration&, time_point now);
     void perform(const pool_configuration&, const hot_key_action&, time_point now);
     void reportLoad(time_point now);
     void acceptReport(const load_report&, const std::string& pool, time_point now);
-    void ask(const std::string& pool, const proposed_move&, time_point now);
-    void moveOne(const std::string& pool, partition_index, const instance_id& target, time_point now);
+    void requestMove(const std::string& pool, const proposed_move&, time_point now);
+    void movePartition(const std::string& pool, partition_index, const instance_id& target, time_point now);
     const pool_configuration* ownPool() const;
 
     control_context& m_context;
@@ -71,11 +71,11 @@
     std::map<std::string, repair_schedule> m_schedules;
     std::map<std::string, pool_work> m_pools;
     load_sample m_load;
-    std::uint64_t m_seenRevision = 0;
+    std::uint64_t m_lastRevision = 0;
     bool m_isRepairDue = true;
     time_point m_nextRepair;
     time_point m_nextFullRepair;
-    time_point m_nextSlow;
+    time_point m_nextBalance;
     time_point m_nextReport;
     bool m_isDraining = false;
 };
--- a/src/control/internal/cluster_view.cpp
+++ b/src/control/internal/cluster_view.cpp
@@ -45,11 +45,11 @@
     auto parsed = parseMemberRow(row.value);
     if (parsed.has_error())
         return logRejected(row, parsed.error());
-    auto& known = m_members[row.key.key];
-    if (row.version <= known.version)
+    auto& member = m_members[row.key.key];
+    if (row.version <= member.version)
         return;
-    known = { row.version, std::move(parsed).value() };
-    place(known.row);
+    member = { row.version, std::move(parsed).value() };
+    updatePlacement(member.row);
     ++m_revision;
 }
 
@@ -66,7 +66,7 @@
     logEvent(log_event::configuration_applied, { { "version", std::to_string(value.version) } });
     m_configuration = std::make_shared<const configuration>(std::move(value));
     for (const auto& [id, member] : m_members)
-        place(member.row);
+        updatePlacement(member.row);
     ++m_revision;
 }
 
@@ -76,16 +76,16 @@
     return found == m_members.end() ? nullptr : &found->second;
 }
 
-void cluster_view::place(const member_row& row)
+void cluster_view::updatePlacement(const member_row& row)
 {
-    auto& placed = m_placements[row.self.id];
-    placed = {};
+    auto& placement = m_placements[row.self.id];
+    placement = {};
     if (!m_configuration)
         return;
     const auto labels = m_configuration->labelsOf(row.self.id, row.labels);
     const auto drain = labels.find(drainLabel);
-    placed.isDrained = drain != labels.end() && drain->second == "true";
-    placed.pool = row.labels.empty() ? nullptr : m_configuration->poolFor(labels);
+    placement.isDrained = drain != labels.end() && drain->second == "true";
+    placement.pool = row.labels.empty() ? nullptr : m_configuration->poolFor(labels);
 }
 
 const pool_configuration* cluster_view::poolOf(const member_row& row) const
--- a/src/control/internal/cluster_view.h
+++ b/src/control/internal/cluster_view.h
@@ -14,39 +14,40 @@
 /// The replicated rows in their parsed form.
 class cluster_view {
 public:
-    /// Takes rows that are newer than those known. Rows of one transaction must come together. Rows that cannot be
-    /// parsed are logged and left out.
+    /// Applies rows that are newer than the current ones. Rows of one transaction must be passed together. Rows that
+    /// cannot be parsed are logged and skipped.
     void apply(const std::vector<stored_row>&);
 
     const member_map& members() const { return m_members; }
     const versioned_member* findMember(const instance_id&) const;
     const partition_map& partitions() const { return m_partitions; }
-    /// Null until a configuration was accepted.
+    /// Null until the first valid configuration arrives.
     const configuration_ptr& current() const { return m_configuration; }
-    /// Grows with each change.
+    /// Increases with each change.
     std::uint64_t revision() const { return m_revision; }
 
-    /// The pool that the labels of a known member choose, or null.
+    /// The pool that the member's labels select; null if there is none or the member is not in the view.
     const pool_configuration* poolOf(const member_row&) const;
-    /// Whether an operator drains a known member by its label.
+    /// Whether the configuration drains the member with the label `drain`.
     bool isDrainedByLabel(const member_row&) const;
-    /// All rows, in the order of their ids.
+    /// All member rows, ordered by instance id.
     const std::vector<member_row>& memberRows() const;
     std::vector<pool_member> eligible(const pool_configuration&, const ramp_function&) const;
 
 private:
     void applyMember(const stored_row&);
     void applyConfiguration(const stored_row&);
-    void place(const member_row&);
+    void updatePlacement(const member_row&);
 
-    /// What the labels of a member lead to. Kept, because labels are matched for every member several times a second.
-    struct placement_by_labels {
+    /// Pool and drain state that follow from a member's labels. Cached, because they are needed for every member
+    /// several times a second.
+    struct label_placement {
         const pool_configuration* pool = nullptr;
         bool isDrained = false;
     };
 
     member_map m_members;
-    std::map<instance_id, placement_by_labels> m_placements;
+    std::map<instance_id, label_placement> m_placements;
     mutable std::vector<member_row> m_rows;
     mutable std::uint64_t m_rowsRevision = 0;
     partition_map m_partitions;
--- a/src/control/internal/control_context.cpp
+++ b/src/control/internal/control_context.cpp
@@ -14,15 +14,15 @@
 
 void control_context::send(const instance_ref& to, const wire::Message& message) const
 {
-    // Without a row the process can still be reached on a connection that it opened.
+    // A process whose row is not in the view can still be reached on a connection that it opened itself.
     transport.send(addressOf(to).value_or(peer_address { to, {} }), message);
 }
 
 duration retry_delay::next(double jitter)
 {
-    const auto longest = std::min(m_first * (1 << std::min(m_failures, 12)), m_longest);
+    const auto delay = std::min(m_initial * (1 << std::min(m_failures, 12)), m_max);
     ++m_failures;
-    return std::chrono::duration_cast<duration>(longest * (0.5 + 0.5 * jitter));
+    return std::chrono::duration_cast<duration>(delay * (0.5 + 0.5 * jitter));
 }
 
 } // namespace heatherdrift
--- a/src/control/internal/control_context.h
+++ b/src/control/internal/control_context.h
@@ -15,18 +15,18 @@
 /// Deadline of one request to the table service.
 constexpr duration storeTimeout = std::chrono::seconds(2);
 
-/// What the parts of the control task share: its ports and its copy of the stored rows.
+/// State shared by the components of the control task: its ports and its copy of the stored rows.
 struct control_context {
     clock_function now;
     table_store& store; ///< Commits may end with an unknown outcome.
-    resolving_store& resolving; ///< Commits end with a known outcome, however late.
+    resolving_store& resolving; ///< Commits always end with a known outcome, possibly after the deadline.
     peer_transport& transport;
     replica_sync& replica;
     cluster_view& view;
     lease_settings lease;
-    /// Unique over all processes.
+    /// Returns an id that is unique over all processes.
     std::function<std::string()> newOperationId;
-    /// From 0 to 1.
+    /// Returns a random number from 0 to 1.
     std::function<double()> jitter;
 
     /// The member's address for control messages; empty if the row names another incarnation.
@@ -35,12 +35,12 @@
     time_point storeDeadline() const { return now() + storeTimeout; }
 };
 
-/// Delays that double up to a longest one, jittered over their upper half.
+/// Exponential backoff: the delay doubles up to a maximum; jitter is applied to its upper half.
 class retry_delay {
 public:
-    retry_delay(duration first, duration longest)
-        : m_first(first)
-        , m_longest(longest)
+    retry_delay(duration initial, duration max)
+        : m_initial(initial)
+        , m_max(max)
     {
     }
 
@@ -48,8 +48,8 @@
     void reset() { m_failures = 0; }
 
 private:
-    duration m_first;
-    duration m_longest;
+    duration m_initial;
+    duration m_max;
     int m_failures = 0;
 };
 
--- a/src/control/internal/control_node.cpp
+++ b/src/control/internal/control_node.cpp
@@ -12,8 +12,8 @@
 namespace {
 
     constexpr duration digestInterval = std::chrono::seconds(1);
-    /// A draining instance whose partitions nobody takes leaves after this time all the same.
-    constexpr duration longestHandOverWait = std::chrono::seconds(20);
+    /// A draining instance leaves after this time even if no other instance has taken over its partitions.
+    constexpr duration drainTimeout = std::chrono::seconds(20);
     constexpr const char* intentTable = "intents";
 
 } // namespace
@@ -24,9 +24,9 @@
           { [&node, self = row.self](time_point end) {
                node.m_ports.toRequestTask(lease_update { self, end });
            },
-              [&node](lease_end reason) { node.lost(reason); },
+              [&node](lease_end reason) { node.onLeaseLost(reason); },
               [&node](const std::vector<instance_ref>& witnesses) {
-                  auto next = node.m_row.known().row;
+                  auto next = node.m_row.latest().row;
                   next.witnesses = witnesses;
                   return node.m_row.write(std::move(next));
               } })
@@ -45,13 +45,13 @@
     : m_identity(std::move(identity))
     , m_ports(std::move(ports))
     , m_random(m_ports.seed)
-    , m_replica(*m_ports.transport, { m_ports.now, [this](const auto& rows) { rowsChanged(rows); } })
+    , m_replica(*m_ports.transport, { m_ports.now, [this](const auto& rows) { onRowsChanged(rows); } })
     , m_context { m_ports.now, *m_ports.store, *m_ports.resolving, *m_ports.transport, m_replica, m_view, lease,
         [this] { return newOperationId(); }, [this] { return std::uniform_real_distribution<double>(0, 1)(m_random); } }
     , m_row(m_context, m_identity,
-          { [this](const versioned_member& member) { registered(member); },
-              [this](const versioned_member& member, bool isApplied) { written(member, isApplied); },
-              [this](lease_end reason) { lost(reason); } })
+          { [this](const versioned_member& member) { onRegistered(member); },
+              [this](const versioned_member& member, bool isApplied) { onRowWritten(member, isApplied); },
+              [this](lease_end reason) { onLeaseLost(reason); } })
     , m_reader(m_context)
     , m_strikes(m_context)
 {
@@ -63,7 +63,7 @@
 
 void node_impl::start() { m_row.beginRegistration(); }
 
-void node_impl::registered(const versioned_member& member)
+void node_impl::onRegistered(const versioned_member& member)
 {
     logEvent(log_event::member_registered, { { "self", toString(member.row.self) } });
     m_ports.identify(member.row.self);
@@ -74,7 +74,7 @@
     m_publishedRevision = 0;
 }
 
-void node_impl::written(const versioned_member& member, bool isApplied)
+void node_impl::onRowWritten(const versioned_member& member, bool isApplied)
 {
     if (!m_parts)
         return;
@@ -85,7 +85,7 @@
     }
 }
 
-void node_impl::lost(lease_end reason)
+void node_impl::onLeaseLost(lease_end reason)
 {
     if (!m_parts || m_stopping || m_hasLeft)
         return;
@@ -111,7 +111,7 @@
     m_row.beginRegistration();
 }
 
-void node_impl::rowsChanged(const std::vector<stored_row>& rows)
+void node_impl::onRowsChanged(const std::vector<stored_row>& rows)
 {
     m_view.apply(rows);
     const auto version = m_view.current() ? m_view.current()->version : 0;
@@ -129,7 +129,7 @@
         m_parts->lease.onMember(member->row);
         m_parts->takeovers.onMember(*member);
         if (row.key.key == m_identity.instance)
-            m_row.onSeen(*member);
+            m_row.onRowUpdate(*member);
     }
 }
 
@@ -140,7 +140,7 @@
     const auto from = m_context.addressOf(sender).value_or(peer_address { sender, {} });
     if (message.__isset.renewal) {
         m_replica.onDigest(from, message.renewal.digest);
-        m_parts->takeovers.onHeard(sender);
+        m_parts->takeovers.onHeartbeat(sender);
     }
     if (message.__isset.grant)
         m_replica.onDigest(from, message.grant.digest);
@@ -176,9 +176,9 @@
     }
 }
 
-member_state node_impl::wantedState(time_point now) const
+member_state node_impl::targetState(time_point now) const
 {
-    const auto state = m_row.known().row.state;
+    const auto state = m_row.latest().row.state;
     if (m_isDraining)
         return m_isServing || state != member_state::draining ? member_state::draining : member_state::left;
     if (m_backend && !m_isBackendAnswering)
@@ -188,11 +188,11 @@
     return state;
 }
 
-/// Once everything is handed over, or nobody is there to take it, the request task stops before the row says `left`:
-/// others assign what a row in that state still owns.
+/// Starts to leave once all partitions are handed over or the drain deadline has passed. The request task stops before
+/// the row gets the state `left`, because other nodes reassign the partitions of a row in that state.
 void node_impl::leaveWhenIdle(time_point now)
 {
-    if (!m_isDraining || m_isLeaving || m_row.known().row.state != member_state::draining)
+    if (!m_isDraining || m_isLeaving || m_row.latest().row.state != member_state::draining)
         return;
     const bool hasHandedOver = m_parts->assignment.ownsNothing() && m_parts->moves.size() == 0;
     if (m_callsInProgress > 0 || (!hasHandedOver && now < m_drainDeadline))
@@ -206,15 +206,15 @@
     leaveWhenIdle(now);
     if (!m_row.isRegistered() || m_row.isWriting())
         return;
-    auto wanted = m_row.known().row;
-    wanted.state = wantedState(now);
+    auto wanted = m_row.latest().row;
+    wanted.state = targetState(now);
     if (m_backend) {
         wanted.labels = m_backend->labels;
         wanted.slots = m_backend->slots;
         wanted.checksGrants = m_backend->checksGrants;
     }
     m_parts->assignment.setDraining(wanted.state == member_state::draining);
-    if (wanted != m_row.known().row)
+    if (wanted != m_row.latest().row)
         m_row.write(std::move(wanted));
 }
 
@@ -229,10 +229,10 @@
         const auto& row = member.row;
         if (id == m_identity.instance || !canHoldLease(row.state))
             continue;
-        const auto names = [](const std::vector<instance_ref>& witnesses, const instance_ref& instance) {
+        const auto contains = [](const std::vector<instance_ref>& witnesses, const instance_ref& instance) {
             return std::ranges::find(witnesses, instance) != witnesses.end();
         };
-        if (names(own->row.witnesses, row.self) || names(row.witnesses, own->row.self))
+        if (contains(own->row.witnesses, row.self) || contains(row.witnesses, own->row.self))
             neighbours.push_back({ row.self, row.control });
         if (row.region == m_identity.region)
             continue;
@@ -291,7 +291,7 @@
 void node_impl::on(const partition_quiet& message)
 {
     if (m_parts)
-        m_parts->moves.onQuiet(message.partition);
+        m_parts->moves.onPartitionIdle(message.partition);
 }
 
 void node_impl::on(const backend_state& message)
@@ -309,7 +309,7 @@
         m_parts->assignment.onLoad(message, m_ports.now());
 }
 
-void node_impl::on(const new_strikes& message) { m_strikes.spread(message.strikes); }
+void node_impl::on(const new_strikes& message) { m_strikes.broadcast(message.strikes); }
 
 void node_impl::on(const insert_intent& message) { writeIntent(message); }
 
@@ -343,7 +343,7 @@
 {
     if (std::exchange(m_isDraining, true))
         return;
-    m_drainDeadline = m_ports.now() + longestHandOverWait;
+    m_drainDeadline = m_ports.now() + drainTimeout;
     logEvent(log_event::drain_started);
     m_ports.toRequestTask(start_draining {});
 }
@@ -377,7 +377,7 @@
 {
     if (reason.code != error_code::conflict)
         return done(reason);
-    // Each version has a row that is written once, so it tells whose change became this version.
+    // The row of a version is written only once, so it shows which operation created the version.
     m_ports.store->read(configurationVersionKey(version), m_context.storeDeadline(),
         [version, operationId, done = std::move(done)](const result<std::optional<stored_row>>& row) {
             if (row.has_error())
@@ -428,7 +428,7 @@
         return status;
     const auto now = m_ports.now();
     status.hasLease = m_parts->lease.isValid(now);
-    // A lease that has ended for good is valid until the least time there is, from which nothing can be subtracted.
+    // A permanently ended lease has the minimum time point as its expiry; subtracting from that would overflow.
     status.leaseRemaining = std::max(m_parts->lease.validUntil(), now) - now;
     status.witnesses = m_parts->lease.witnesses();
     status.movesInProgress = m_parts->moves.size();
--- a/src/control/internal/lease_driver.cpp
+++ b/src/control/internal/lease_driver.cpp
@@ -51,7 +51,7 @@
     const auto proposed = m_holder.proposeWitnesses(self->row, m_context.view.memberRows(), now);
     if (!proposed)
         return;
-    // The holder must know of the change before the write can take effect.
+    // The holder must be in the changing state before the write can take effect.
     if (!m_holder.beginWitnessChange(self->row, *proposed))
         return;
     m_isWritingWitnesses = m_hooks.writeWitnesses(*proposed);
@@ -78,12 +78,12 @@
         logEvent(hasLease ? log_event::lease_acquired : log_event::lease_lost, { { "holder", toString(m_self) } });
         m_hadLease = hasLease;
     }
-    if (until != m_published) {
-        m_published = until;
-        m_hooks.leaseMoved(until);
+    if (until != m_publishedExpiry) {
+        m_publishedExpiry = until;
+        m_hooks.onExpiryChanged(until);
     }
     if (const auto ended = m_holder.ended())
-        m_hooks.ended(*ended);
+        m_hooks.onEnded(*ended);
 }
 
 bool lease_driver::onMessage(const instance_ref& sender, const wire::Message& message)
--- a/src/control/internal/lease_driver.h
+++ b/src/control/internal/lease_driver.h
@@ -9,26 +9,26 @@
 
 namespace heatherdrift {
 
-/// Exchanges the messages of the lease of this process and of the leases that it witnesses.
+/// Exchanges lease messages: those of this process's own lease and those of the leases that it witnesses.
 class lease_driver {
 public:
     struct hooks {
-        /// The end of this process's lease moved.
-        std::function<void(time_point end)> leaseMoved;
-        /// Witnesses refuse this process for good.
-        std::function<void(lease_end)> ended;
-        /// Writes the witness set into the own row; false if that is not possible now.
+        /// The expiry of this process's lease changed.
+        std::function<void(time_point end)> onExpiryChanged;
+        /// The lease ended permanently: the process was fenced or superseded.
+        std::function<void(lease_end)> onEnded;
+        /// Starts to write the witness set into the own row; returns false if that is not possible now.
         std::function<bool(const std::vector<instance_ref>&)> writeWitnesses;
     };
 
     lease_driver(control_context&, const member_row& self, hooks);
 
     void tick(time_point now);
-    /// True if the message was one of this class.
+    /// Returns whether this class handles messages of this kind.
     bool onMessage(const instance_ref& sender, const wire::Message&);
     void onMember(const member_row&);
     void onConfiguration(std::int64_t version);
-    /// The outcome of writeWitnesses().
+    /// Reports the outcome of writeWitnesses().
     void onWitnessesWritten(bool isApplied);
     void end(lease_end);
 
@@ -52,7 +52,7 @@
     std::int64_t m_configurationVersion = 0;
     time_point m_nextPoll;
     time_point m_nextProposal;
-    time_point m_published = neverValid;
+    time_point m_publishedExpiry = neverValid;
     bool m_hadLease = false;
     bool m_isWritingWitnesses = false;
 };
--- a/src/control/internal/move_driver.cpp
+++ b/src/control/internal/move_driver.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-    constexpr duration firstRead = std::chrono::milliseconds(50);
-    constexpr duration longestRead = std::chrono::seconds(2);
+    constexpr duration initialReadDelay = std::chrono::milliseconds(50);
+    constexpr duration maxReadDelay = std::chrono::seconds(2);
 
 } // namespace
 
@@ -37,15 +37,15 @@
     for (const auto& entry : assignments)
         partitions.push_back({ pool, entry.partition });
     const auto page = pageOf(assignments.front().partition);
-    auto move = std::make_shared<running_move>(
-        running_move { planned_move(pool, m_self, std::move(assignments), requestsEndBy), pool, page, partitions,
-            { partitions.begin(), partitions.end() }, false, std::nullopt, retry_delay(firstRead, longestRead) });
+    auto move = std::make_shared<running_move>(running_move {
+        planned_move(pool, m_self, std::move(assignments), requestsEndBy), pool, page, partitions,
+        { partitions.begin(), partitions.end() }, false, std::nullopt, retry_delay(initialReadDelay, maxReadDelay) });
     m_moves.push_back(move);
     for (const auto& partition : partitions)
         m_hooks.stop(partition);
 }
 
-void move_driver::onQuiet(const partition_id& partition)
+void move_driver::onPartitionIdle(const partition_id& partition)
 {
     for (const auto& move : m_moves)
         move->busy.erase(partition);
--- a/src/control/internal/move_driver.h
+++ b/src/control/internal/move_driver.h
@@ -11,21 +11,21 @@
 
 namespace heatherdrift {
 
-/// Hands partitions of this instance over to others. The request task stops each partition first and says when no call
-/// needs it any more.
+/// Moves partitions of this instance to others. The request task first stops each partition and reports when none of
+/// its calls are in progress any more.
 class move_driver {
 public:
     struct hooks {
         std::function<void(const partition_id&)> stop;
-        /// Called after the newest page is in the view.
+        /// Called after the latest version of the page is in the view.
         std::function<void(const partition_id&)> resume;
     };
 
     move_driver(control_context&, page_writer&, instance_ref self, hooks);
 
-    /// Begins to move partitions of one page. Those that are being moved already are left out.
+    /// Starts to move partitions of one page. Partitions that are already being moved are skipped.
     void begin(const std::string& pool, std::vector<entry_assignment>, time_point requestsEndBy);
-    void onQuiet(const partition_id&);
+    void onPartitionIdle(const partition_id&);
     void tick(time_point now);
 
     bool isMoving(const partition_id&) const;
@@ -37,7 +37,7 @@
         std::string pool;
         std::uint32_t page = 0;
         std::vector<partition_id> partitions;
-        std::set<partition_id> busy; ///< Not quiet yet.
+        std::set<partition_id> busy; ///< Partitions with calls still in progress.
         bool isWriting = false;
         std::optional<time_point> readAt;
         retry_delay delay;
--- a/src/control/internal/node_impl.h
+++ b/src/control/internal/node_impl.h
@@ -34,7 +34,7 @@
     std::vector<versioned_member> members() const override;
 
 private:
-    /// The parts that belong to one incarnation.
+    /// Components that exist once per incarnation.
     struct incarnation_parts {
         incarnation_parts(node_impl&, const member_row&);
 
@@ -45,14 +45,14 @@
         assignment_driver assignment;
     };
 
-    void registered(const versioned_member&);
-    void written(const versioned_member&, bool isApplied);
-    void lost(lease_end);
-    void rowsChanged(const std::vector<stored_row>&);
+    void onRegistered(const versioned_member&);
+    void onRowWritten(const versioned_member&, bool isApplied);
+    void onLeaseLost(lease_end);
+    void onRowsChanged(const std::vector<stored_row>&);
     void onMessage(const instance_ref& sender, const wire::Message&);
     void leaveWhenIdle(time_point now);
     void updateOwnRow(time_point now);
-    member_state wantedState(time_point now) const;
+    member_state targetState(time_point now) const;
     void updateNeighbours();
     void sendDigests(time_point now);
     void publishSnapshot();
@@ -78,11 +78,12 @@
     store_reader m_reader;
     strike_relay m_strikes;
     std::unique_ptr<incarnation_parts> m_parts;
-    std::optional<instance_ref> m_stopping; ///< Has not confirmed yet that it serves no more.
+    /// Incarnation whose request task has not confirmed yet that it stopped serving.
+    std::optional<instance_ref> m_stopping;
     std::optional<backend_description> m_backend;
     bool m_isBackendAnswering = true;
     bool m_isDraining = false;
-    bool m_isLeaving = false; ///< The request task was told to stop before the row is marked as left.
+    bool m_isLeaving = false; ///< The request task was asked to stop; the row is marked as `left` after it confirms.
     bool m_isServing = true;
     bool m_hasLeft = false;
     time_point m_drainDeadline;
--- a/src/control/internal/own_row.cpp
+++ b/src/control/internal/own_row.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-    constexpr duration firstRetry = std::chrono::milliseconds(50);
-    constexpr duration longestRetry = std::chrono::seconds(2);
+    constexpr duration initialRetryDelay = std::chrono::milliseconds(50);
+    constexpr duration maxRetryDelay = std::chrono::seconds(2);
 
     bool isFencedState(member_state state) { return state == member_state::fencing || state == member_state::fenced; }
 
@@ -21,7 +21,7 @@
     : m_context(context)
     , m_identity(std::move(identity))
     , m_hooks(std::move(callbacks))
-    , m_delay(firstRetry, longestRetry)
+    , m_delay(initialRetryDelay, maxRetryDelay)
     , m_alive(std::make_shared<char>())
 {
 }
@@ -47,7 +47,7 @@
 void own_row::onScanned(const result<std::vector<stored_row>>& rows)
 {
     if (rows.has_error())
-        return waitThen(&own_row::scan);
+        return retryLater(&own_row::scan);
     m_context.replica.add(rows.value());
     readPages();
 }
@@ -59,7 +59,7 @@
             if (alive.expired())
                 return;
             if (rows.has_error())
-                return waitThen(&own_row::scan);
+                return retryLater(&own_row::scan);
             m_context.replica.add(rows.value());
             readConfiguration();
         });
@@ -72,19 +72,19 @@
             if (alive.expired())
                 return;
             if (row.has_error())
-                return waitThen(&own_row::scan);
+                return retryLater(&own_row::scan);
             if (row.value())
                 m_context.replica.add({ *row.value() });
-            registerOver();
+            registerIncarnation();
         });
 }
 
-void own_row::registerOver()
+void own_row::registerIncarnation()
 {
     const auto* current = m_context.view.findMember(m_identity.instance);
     if (current && !mayRegisterOver(current->row, m_identity.control)) {
-        // Another process may hold the lease of this instance at another address; its witnesses will find out.
-        return waitThen(&own_row::scan);
+        // Another process at another address may hold this instance's lease. Retry until its witnesses have fenced it.
+        return retryLater(&own_row::scan);
     }
     member_row next;
     next.self.id = m_identity.instance;
@@ -104,7 +104,7 @@
 {
     if (!m_isRegistered || m_pending)
         return false;
-    begin(std::move(row), m_known.version, false);
+    begin(std::move(row), m_latest.version, false);
     return true;
 }
 
@@ -126,8 +126,8 @@
 void own_row::onCommitted(const result<commit_receipt>& receipt)
 {
     if (receipt.has_value())
-        return settle({ receipt.value().rows.front().version, m_pending->row }, true);
-    // The write can no longer take effect, but others may have written the row, so the present row is what counts.
+        return completeWrite({ receipt.value().rows.front().version, m_pending->row }, true);
+    // The write can no longer take effect, but other nodes may have written the row, so its current state is read.
     readBack();
 }
 
@@ -143,56 +143,56 @@
 void own_row::onReadBack(const result<std::optional<stored_row>>& read)
 {
     if (read.has_error())
-        return waitThen(&own_row::readBack);
+        return retryLater(&own_row::readBack);
     if (!read.value())
-        return settle({}, false);
+        return completeWrite({}, false);
     auto parsed = parseMemberRow(read.value()->value);
     if (parsed.has_error())
-        return waitThen(&own_row::readBack);
+        return retryLater(&own_row::readBack);
     const bool isApplied = parsed.value().operationId == m_pending->row.operationId;
-    settle({ read.value()->version, std::move(parsed).value() }, isApplied);
+    completeWrite({ read.value()->version, std::move(parsed).value() }, isApplied);
 }
 
-void own_row::settle(const versioned_member& row, bool isApplied)
+void own_row::completeWrite(const versioned_member& row, bool isApplied)
 {
     const bool isRegistration = m_pending->isRegistration;
     m_pending.reset();
     m_delay.reset();
     m_retryAt.reset();
     if (isRegistration && !isApplied)
-        return waitThen(&own_row::scan);
-    const auto self = m_known.row.self;
-    m_known = row;
+        return retryLater(&own_row::scan);
+    const auto self = m_latest.row.self;
+    m_latest = row;
     if (isRegistration) {
         m_isRegistered = true;
-        m_hooks.registered(m_known);
+        m_hooks.onRegistered(m_latest);
     } else if (row.row.self != self) {
         m_isRegistered = false;
-        return m_hooks.lost(lease_end::superseded);
+        return m_hooks.onLost(lease_end::superseded);
     } else {
-        m_hooks.written(m_known, isApplied);
+        m_hooks.onWritten(m_latest, isApplied);
     }
-    m_context.replica.add({ { memberKey(m_identity.instance), m_known.version, toJsonText(m_known.row) } });
-    if (m_isRegistered && isFencedState(m_known.row.state)) {
+    m_context.replica.add({ { memberKey(m_identity.instance), m_latest.version, toJsonText(m_latest.row) } });
+    if (m_isRegistered && isFencedState(m_latest.row.state)) {
         m_isRegistered = false;
-        m_hooks.lost(lease_end::fenced);
+        m_hooks.onLost(lease_end::fenced);
     }
 }
 
-void own_row::onSeen(const versioned_member& seen)
+void own_row::onRowUpdate(const versioned_member& seen)
 {
-    if (!m_isRegistered || m_pending || seen.version <= m_known.version)
+    if (!m_isRegistered || m_pending || seen.version <= m_latest.version)
         return;
-    const auto self = m_known.row.self;
-    m_known = seen;
+    const auto self = m_latest.row.self;
+    m_latest = seen;
     const bool isSuperseded = seen.row.self != self;
     if (!isSuperseded && !isFencedState(seen.row.state))
         return;
     m_isRegistered = false;
-    m_hooks.lost(isSuperseded ? lease_end::superseded : lease_end::fenced);
+    m_hooks.onLost(isSuperseded ? lease_end::superseded : lease_end::fenced);
 }
 
-void own_row::waitThen(void (own_row::*next)())
+void own_row::retryLater(void (own_row::*next)())
 {
     m_retry = next;
     m_retryAt = m_context.now() + m_delay.next(m_context.jitter());
--- a/src/control/internal/page_writer.h
+++ b/src/control/internal/page_writer.h
@@ -9,14 +9,14 @@
 
 namespace heatherdrift {
 
-/// Commits changes of pages, one at a time for each page, and brings the replica up to date with what the store has.
+/// Commits page edits, one at a time per page, and updates the replica with the resulting rows.
 class page_writer {
 public:
     explicit page_writer(control_context&);
 
     bool isBusy(const std::string& pool, std::uint32_t page) const;
-    /// Commits the edit. After a failure, or a lost answer, the pages are read back into the replica and the caller
-    /// plans anew from there. Calls back with whether the edit is known to have taken effect.
+    /// Commits the edit. After a failure or a lost response the first page is read back into the replica, and the
+    /// caller plans again from there. The callback gets true only if the edit is confirmed to have taken effect.
     void commit(const page_edit&, std::function<void(bool isApplied)>);
     /// Reads all pages into the replica.
     void readAll(std::function<void(bool isComplete)>);
@@ -32,7 +32,7 @@
     std::shared_ptr<char> m_alive;
 };
 
-/// The codec of the rows that edits write.
+/// Codec for the rows that page edits write.
 const row_codec& pageCodec();
 
 } // namespace heatherdrift
--- a/src/control/internal/replica_sync.cpp
+++ b/src/control/internal/replica_sync.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-    /// Digests differ for a moment after each change; offers usually settle it within this time.
-    constexpr duration differenceGrace = std::chrono::milliseconds(300);
+    /// Digests differ briefly after each change; offers usually remove the difference within this time.
+    constexpr duration differenceGracePeriod = std::chrono::milliseconds(300);
     constexpr duration compareInterval = std::chrono::milliseconds(500);
-    /// After this time without the row another neighbour is asked.
+    /// If the row does not arrive within this time, it may be pulled from another neighbour.
     constexpr duration pullTimeout = std::chrono::milliseconds(500);
-    /// Keeps an update well below the largest frame.
-    constexpr std::size_t updateBytes = 256 * 1024;
+    /// Keeps an update well below the maximum frame size.
+    constexpr std::size_t maxUpdateBytes = 256 * 1024;
 
     constexpr std::array<const char*, 3> replicatedTables { memberTable, pageTable, configurationTable };
 
@@ -66,7 +66,7 @@
     }
     const auto now = m_hooks.now();
     const auto since = m_differsSince.try_emplace(from.self, now).first->second;
-    if (now < since + differenceGrace)
+    if (now < since + differenceGracePeriod)
         return;
     if (theirs.pages != ours.pages)
         compare(from, pageTable);
@@ -134,7 +134,7 @@
             continue;
         update.rows.push_back(toWire(*row));
         bytes += row->value.size();
-        if (bytes >= updateBytes)
+        if (bytes >= maxUpdateBytes)
             flush();
     }
     flush();
@@ -160,7 +160,7 @@
     const auto keys = m_rows.differing(theirs.table, hashes);
     if (!keys.empty())
         offer(from, keys);
-    // The other side may have rows in buckets that are empty here, so it is asked in turn.
+    // The peer may have rows that are missing here, so it gets the own hashes in turn.
     if (hashes != m_rows.bucketHashes(theirs.table))
         compare(from, theirs.table);
 }
--- a/src/control/internal/replica_sync.h
+++ b/src/control/internal/replica_sync.h
@@ -10,32 +10,33 @@
 
 namespace heatherdrift {
 
-/// Keeps this node's replica of the stored rows equal to its neighbours'. New rows are offered to all neighbours, which
-/// pull what they lack and offer it on; equal digests in the renewals prove that nothing was lost, and a difference
-/// that lasts is settled by comparing bucket hashes.
+/// Keeps this node's replica of the stored rows equal to its neighbours' (gossip with anti-entropy). New rows are
+/// offered to all neighbours, which pull the missing ones and offer them in turn. Lease messages carry digests that
+/// detect lost rows; if digests keep differing, the replicas are reconciled by comparing bucket hashes.
 class replica_sync {
 public:
     struct hooks {
         clock_function now;
-        /// Rows that became newer, each change once.
+        /// Called once for each change, with the rows that got a newer version.
         std::function<void(const std::vector<stored_row>&)> changed;
     };
 
     replica_sync(peer_transport&, hooks);
 
-    /// Neighbours: the witnesses of this instance, the instances that it witnesses, and a link to each other region.
+    /// Neighbours are the witnesses of this instance, the instances that it witnesses, and one instance in each other
+    /// region.
     void setNeighbours(std::vector<peer_address>);
 
-    /// Rows read from or written to the store.
+    /// Adds rows that were read from or written to the store.
     void add(const std::vector<stored_row>&);
     const row_replica& rows() const { return m_rows; }
-    /// The version in force at this node, for the digest.
+    /// Sets the configuration version in force at this node, which is part of the digest.
     void setConfigurationVersion(std::int64_t version) { m_configurationVersion = version; }
     wire::Digest digest() const;
 
-    /// A digest that came with a message of the peer.
+    /// Handles a digest from a message of the peer.
     void onDigest(const peer_address& from, const wire::Digest&);
-    /// True if the message was one of this class.
+    /// Returns whether this class handles messages of this kind.
     bool onMessage(const peer_address& from, const wire::Message&);
 
 private:
@@ -52,7 +53,8 @@
     row_replica m_rows;
     std::vector<peer_address> m_neighbours;
     std::int64_t m_configurationVersion = 0;
-    /// Rows asked for and not yet received, so that the same row offered by several neighbours is pulled once.
+    /// Pending pulls by row, with the requested version and the deadline; a row that several neighbours offer is pulled
+    /// only once.
     std::map<row_key, std::pair<row_version, time_point>> m_pulls;
     std::map<std::pair<instance_ref, std::string>, time_point> m_nextCompare;
     std::map<instance_ref, time_point> m_differsSince;
--- a/src/control/internal/row_replica.cpp
+++ b/src/control/internal/row_replica.cpp
@@ -19,17 +19,17 @@
 {
     auto& table = m_tables[row.key.table];
     auto [found, isNew] = table.rows.try_emplace(row.key.key);
-    auto& known = found->second;
-    if (!isNew && known.version >= row.version)
+    auto& existing = found->second;
+    if (!isNew && existing.version >= row.version)
         return false;
-    // Hashes are combined by exclusive or, so that one row can be replaced without visiting the others.
+    // Row hashes are combined with XOR, so that one row can be replaced without rehashing the others.
     auto& bucket = table.buckets[bucketOf(row.key.key)];
     if (!isNew)
-        bucket ^= rowHash(known);
+        bucket ^= rowHash(existing);
     m_bytes += row.value.size();
-    m_bytes -= known.value.size();
-    known = row;
-    bucket ^= rowHash(known);
+    m_bytes -= existing.value.size();
+    existing = row;
+    bucket ^= rowHash(existing);
     return true;
 }
 
--- a/src/control/internal/store_reader.cpp
+++ b/src/control/internal/store_reader.cpp
@@ -11,9 +11,9 @@
 namespace {
 
     constexpr duration configurationInterval = std::chrono::seconds(1);
-    /// At n members each scans every n seconds, so about one scan per second reaches the store in all.
+    /// With n members, each node scans every n seconds, so the store gets about one scan per second in total.
     constexpr duration scanSpacing = std::chrono::seconds(1);
-    constexpr duration shortestScanInterval = std::chrono::seconds(2);
+    constexpr duration minScanInterval = std::chrono::seconds(2);
 
 } // namespace
 
@@ -32,7 +32,7 @@
     }
     if (now >= m_nextScan) {
         const auto members = static_cast<duration::rep>(m_context.view.members().size());
-        const auto interval = std::max(scanSpacing * members, shortestScanInterval);
+        const auto interval = std::max(scanSpacing * members, minScanInterval);
         m_nextScan = now + std::chrono::duration_cast<duration>(interval * (0.75 + 0.5 * m_context.jitter()));
         scan(memberTable);
         scan(pageTable);
--- a/src/control/internal/store_reader.h
+++ b/src/control/internal/store_reader.h
@@ -6,9 +6,9 @@
 
 namespace heatherdrift {
 
-/// Reads the store now and then, for changes whose writer was lost before it could pass them on. The rate over all
-/// nodes is bounded: one node per availability zone reads the configuration every second, and each node scans all rows
-/// in an interval that grows with the number of members.
+/// Polls the store for changes whose writer failed before it could replicate them. The total read rate of all nodes is
+/// bounded: one node per availability zone reads the configuration every second, and each node scans all rows at an
+/// interval that grows with the number of members.
 class store_reader {
 public:
     explicit store_reader(control_context&);
--- a/src/control/internal/strike_relay.cpp
+++ b/src/control/internal/strike_relay.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-    /// Strikes remembered so that none is passed on twice; a strike crosses the mesh in well under a second.
-    constexpr std::size_t rememberedStrikes = 4096;
+    /// Number of strike ids kept to avoid forwarding a strike twice; a strike reaches all nodes in well under a second.
+    constexpr std::size_t maxSeenIds = 4096;
 
 } // namespace
 
-void strike_relay::spread(const std::vector<crash_strike>& strikes) { send(onlyNew(strikes), nullptr); }
+void strike_relay::broadcast(const std::vector<crash_strike>& strikes) { send(filterNew(strikes), nullptr); }
 
 std::vector<crash_strike> strike_relay::accept(const instance_ref& sender, const wire::Strikes& message)
 {
@@ -21,23 +21,23 @@
         strikes.push_back({ static_cast<std::uint64_t>(strike.id), static_cast<std::uint64_t>(strike.fingerprint),
             std::clamp(strike.weight, 0.0, 1.0), m_context.now() - age });
     }
-    auto fresh = onlyNew(strikes);
+    auto fresh = filterNew(strikes);
     send(fresh, &sender);
     return fresh;
 }
 
-std::vector<crash_strike> strike_relay::onlyNew(const std::vector<crash_strike>& strikes)
+std::vector<crash_strike> strike_relay::filterNew(const std::vector<crash_strike>& strikes)
 {
     std::vector<crash_strike> fresh;
     for (const auto& strike : strikes) {
-        if (!m_known.insert(strike.id).second)
+        if (!m_seenIds.insert(strike.id).second)
             continue;
-        m_order.push_back(strike.id);
+        m_seenOrder.push_back(strike.id);
         fresh.push_back(strike);
     }
-    while (m_order.size() > rememberedStrikes) {
-        m_known.erase(m_order.front());
-        m_order.pop_front();
+    while (m_seenOrder.size() > maxSeenIds) {
+        m_seenIds.erase(m_seenOrder.front());
+        m_seenOrder.pop_front();
     }
     return fresh;
 }
--- a/src/control/internal/takeover_driver.cpp
+++ b/src/control/internal/takeover_driver.cpp
@@ -223,7 +223,7 @@
         handle(holder, member_seen { member });
 }
 
-void takeover_driver::onHeard(const instance_ref& holder) { handle(holder, holder_heard {}); }
+void takeover_driver::onHeartbeat(const instance_ref& holder) { handle(holder, holder_heard {}); }
 
 void takeover_driver::declareLost(const instance_ref& holder)
 {
--- a/src/control/internal/takeover_driver.h
+++ b/src/control/internal/takeover_driver.h
@@ -18,14 +18,14 @@
     takeover_driver(control_context&, page_writer&, witness&, instance_ref self);
 
     void tick(time_point now);
-    /// True if the message was one of this class.
+    /// Returns whether this class handles messages of this kind.
     bool onMessage(const wire::Message&);
     void onMember(const versioned_member&);
-    void onHeard(const instance_ref& holder);
-    /// An operator states that the process does not run and will not resume.
+    void onHeartbeat(const instance_ref& holder);
+    /// Starts a takeover after an operator confirmed that the process has stopped and will not resume.
     void declareLost(const instance_ref& holder);
 
-    /// Whether a takeover waits for the instance's partitions to get new owners.
+    /// Whether a takeover is waiting until the instance's partitions have new owners.
     bool isReassigning(const instance_ref& holder) const;
     std::size_t size() const { return m_running.size(); }
 
@@ -34,7 +34,7 @@
         std::unique_ptr<takeover> machine;
         std::optional<time_point> timer;
         bool isReassigning = false;
-        std::optional<time_point> readPagesAt; ///< When to read the pages again after a failure.
+        std::optional<time_point> readPagesAt; ///< When to retry reading the pages.
     };
 
     void begin(const takeover_call&, time_point now);
--- a/src/control/internal/tcp_peer_transport.cpp
+++ b/src/control/internal/tcp_peer_transport.cpp
@@ -64,7 +64,8 @@
     struct peer_connection {
         transport* owner = nullptr;
         stream_handle stream;
-        std::optional<instance_ref> peer; ///< Known from the start if this side connected, else from the hello.
+        /// Set on connect if this side opened the connection, otherwise by the peer's hello.
+        std::optional<instance_ref> peer;
         bool isHelloReceived = false;
         time_point lastUsed;
     };
@@ -90,7 +91,7 @@
             auto native = toSocketAddress(address);
             if (!native)
                 return false;
-            m_listener.reset(evconnlistener_new_bind(m_base, &transport::accepted, this,
+            m_listener.reset(evconnlistener_new_bind(m_base, &transport::onAccept, this,
                 LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, listenBacklog,
                 reinterpret_cast<sockaddr*>(&native->storage), native->size));
             if (!m_listener)
@@ -127,17 +128,17 @@
     private:
         peer_connection* connectionTo(const peer_address& to)
         {
-            if (const auto known = m_byPeer.find(to.self); known != m_byPeer.end())
-                return known->second;
+            if (const auto found = m_byPeer.find(to.self); found != m_byPeer.end())
+                return found->second;
             auto& state = m_reconnects[to];
             const auto now = boot_clock::now();
             if (now < state.notBefore || static_cast<int>(m_connections.size()) >= m_limits.connections)
                 return nullptr;
-            // Counted as a failure until the peer's hello arrives.
+            // Each attempt counts as a failure until the peer's hello arrives.
             const auto doublings = std::min(state.failures++, 10);
-            const auto longest = std::min(m_limits.firstReconnect * (1 << doublings), m_limits.longestReconnect);
+            const auto delay = std::min(m_limits.initialReconnectDelay * (1 << doublings), m_limits.maxReconnectDelay);
             state.notBefore
-                = now + longest / 2 + duration(static_cast<duration::rep>(m_jitter() % (longest.count() / 2 + 1)));
+                = now + delay / 2 + duration(static_cast<duration::rep>(m_jitter() % (delay.count() / 2 + 1)));
             return connect(to);
         }
 
@@ -168,7 +169,7 @@
                 bufferevent_socket_new(m_base, descriptor, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
             connection->lastUsed = boot_clock::now();
             bufferevent_setcb(
-                connection->stream.get(), &transport::readable, nullptr, &transport::changed, connection.get());
+                connection->stream.get(), &transport::onReadable, nullptr, &transport::onEvent, connection.get());
             bufferevent_setwatermark(connection->stream.get(), EV_READ, 0, 2 * maximumFrameBytes);
             bufferevent_enable(connection->stream.get(), EV_READ | EV_WRITE);
             auto* added = connection.get();
@@ -195,7 +196,7 @@
             m_counts.bytesSent += frame.value().size();
         }
 
-        static void accepted(evconnlistener*, evutil_socket_t descriptor, sockaddr*, int, void* argument)
+        static void onAccept(evconnlistener*, evutil_socket_t descriptor, sockaddr*, int, void* argument)
         {
             auto& self = *static_cast<transport*>(argument);
             if (!self.m_self || static_cast<int>(self.m_connections.size()) >= self.m_limits.connections) {
@@ -207,7 +208,7 @@
             self.write(*connection, helloFrom(*self.m_self, self.m_limits.agreement));
         }
 
-        static void readable(bufferevent* stream, void* argument)
+        static void onReadable(bufferevent* stream, void* argument)
         {
             auto* connection = static_cast<peer_connection*>(argument);
             auto& self = *connection->owner;
@@ -238,17 +239,17 @@
                 return true;
             }
             if (!message.__isset.hello || message.hello.protocolVersion != protocolVersion) {
-                reject(connection, "the first message is no hello of this protocol version");
+                reject(connection, "first message is not a hello with the supported protocol version");
                 return false;
             }
             if (message.hello.agreement != m_limits.agreement) {
-                reject(connection, "the peer has other lease settings");
+                reject(connection, "peer has different lease settings");
                 return false;
             }
             const instance_ref sender { message.hello.sender.id,
                 static_cast<incarnation>(message.hello.sender.incarnation) };
             if (connection.peer && *connection.peer != sender) {
-                // The address now belongs to another process; what was queued for the old one must not reach it.
+                // The address now belongs to another process, which must not get the old one's queued messages.
                 close(connection);
                 return false;
             }
@@ -267,7 +268,7 @@
             close(connection);
         }
 
-        static void changed(bufferevent*, short what, void* argument)
+        static void onEvent(bufferevent*, short what, void* argument)
         {
             auto* connection = static_cast<peer_connection*>(argument);
             if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT))
--- a/src/control/internal/wire_convert.cpp
+++ b/src/control/internal/wire_convert.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-    /// Thrift has no unsigned integers; the bits are kept.
+    /// Thrift has no unsigned integers; the bit pattern is kept.
     std::int64_t toSigned(std::uint64_t value) { return static_cast<std::int64_t>(value); }
 
     std::uint64_t toUnsigned(std::int64_t value) { return static_cast<std::uint64_t>(value); }
 
-    /// A negative time from a faulty peer counts as zero.
+    /// Clamps a negative duration from a faulty peer to zero.
     duration toDuration(std::int64_t microseconds) { return duration(std::max<std::int64_t>(microseconds, 0)); }
 
     refusal_reason fromWire(wire::RefusalReason::type reason)
@@ -26,7 +26,7 @@
         case wire::RefusalReason::WRONG_WITNESS:
             return refusal_reason::wrong_witness;
         }
-        // An unknown reason from a newer node must not end the lease for good.
+        // An unknown reason from a newer node must not end the lease permanently.
         return refusal_reason::wrong_witness;
     }
 
--- a/src/control/row_replica.h
+++ b/src/control/row_replica.h
@@ -11,16 +11,16 @@
 
 namespace heatherdrift {
 
-/// Buckets in which two replicas of a table are compared.
+/// Number of hash buckets per table; two replicas are compared bucket by bucket.
 constexpr std::size_t replicaBuckets = 64;
 
 using bucket_hashes = std::array<std::uint64_t, replicaBuckets>;
 
-/// This node's copy of stored rows. Rows come from the store or from other nodes; the higher version wins, so rows may
-/// arrive late, twice and in any order.
+/// This node's copy of the stored rows. Rows come from the store or from other nodes. The higher version wins, so rows
+/// may arrive late, more than once and in any order.
 class row_replica {
 public:
-    /// False if the version known is as new.
+    /// Returns false if the replica already has this version or a newer one.
     bool merge(const stored_row&);
 
     const stored_row* find(const row_key&) const;
@@ -31,7 +31,7 @@
     /// Hash over the keys and versions of a table.
     std::uint64_t hashOf(const std::string& table) const;
     bucket_hashes bucketHashes(const std::string& table) const;
-    /// Rows in the buckets whose hash differs from the other node's.
+    /// Keys of the rows in buckets whose hash differs from the other replica's.
     std::vector<row_key> differing(const std::string& table, const bucket_hashes& other) const;
 
     std::size_t bytes() const { return m_bytes; }
--- a/src/control/tcp_peer_transport.h
+++ b/src/control/tcp_peer_transport.h
@@ -10,13 +10,13 @@
 namespace heatherdrift {
 
 struct transport_limits {
-    std::size_t outputBytes = 8 << 20; ///< Per connection; above that it is closed.
+    std::size_t outputBytes = 8 << 20; ///< Output buffer per connection; a connection that exceeds it is closed.
     int connections = 4096;
-    duration idle = std::chrono::seconds(60); ///< A connection without messages for so long is closed.
-    duration firstReconnect = std::chrono::milliseconds(100);
-    duration longestReconnect = std::chrono::seconds(2);
-    /// Sent in the hello; a peer with another value is refused. Holder and witness count a lease by their own settings,
-    /// so nodes whose lease times differ must not exchange grants.
+    duration idle = std::chrono::seconds(60); ///< A connection without messages for this time is closed.
+    duration initialReconnectDelay = std::chrono::milliseconds(100);
+    duration maxReconnectDelay = std::chrono::seconds(2);
+    /// Sent in the hello; a peer with another value is rejected. Holder and witness each compute the lease end from
+    /// their own settings, so nodes with different lease times must not exchange grants.
     std::int64_t agreement = 0;
 };
 
@@ -28,13 +28,13 @@
     std::uint64_t rejected = 0; ///< Connections closed because of a message that could not be decoded.
 };
 
-/// Control messages as frames over TCP. Both directions of a pair share one connection where there is one.
+/// Sends control messages as frames over TCP. The two nodes of a pair share one connection where possible.
 class tcp_peer_transport : public peer_transport {
 public:
-    /// Listens at once; messages are sent and taken only after identify(). Fails with invalid_settings.
+    /// Listens immediately, but sends and accepts messages only after identify(). Fails with invalid_settings.
     static result<std::unique_ptr<tcp_peer_transport>> listen(event_base*, const endpoint&, const transport_limits&);
 
-    /// Names the process that sends from now on; open connections are closed.
+    /// Sets the identity of the sending process and closes all open connections.
     virtual void identify(const instance_ref& self) = 0;
     virtual endpoint address() const = 0;
     virtual const transport_counts& counts() const = 0;
--- a/src/control/tests/control_fault_test.cpp
+++ b/src/control/tests/control_fault_test.cpp
@@ -8,14 +8,14 @@
     using std::chrono::milliseconds;
     using std::chrono::seconds;
 
-    /// A key must be served again this long after a loss.
-    constexpr duration servedAgainWithin = seconds(3);
+    /// Maximum time until every partition is served again after a loss.
+    constexpr duration recoveryTimeout = seconds(3);
 
     struct fault_case {
         const char* name;
         /// Causes the fault; may run the mesh.
         void (*cause)(fake_mesh&);
-        /// How long after the cause every partition is served again.
+        /// Time after which every partition must be served again.
         duration recovery;
     };
 
@@ -49,7 +49,7 @@
 
     void loseAnswersInTakeover(fake_mesh& mesh)
     {
-        // Each kind of write loses its first two answers after taking effect.
+        // For each row, the responses of the first two writes are lost after the writes took effect.
         auto lost = std::make_shared<std::map<std::string, int>>();
         mesh.store.chooseFault = [lost](const store_transaction& transaction) {
             const auto& row = transaction.writes.front().key;
@@ -100,7 +100,7 @@
                 }
             }
         }
-        ADD_FAILURE() << "no takeover began";
+        ADD_FAILURE() << "no takeover started within 3 s";
     }
 
     void killOwnerWithSlowStore(fake_mesh& mesh)
@@ -142,17 +142,17 @@
     }
 
     const fault_case faultCases[] = {
-        { "instance killed", &killOwner, servedAgainWithin },
-        { "instance killed with a slow store", &killOwnerWithSlowStore, servedAgainWithin },
-        { "instance restarted at once", &restartOwner, servedAgainWithin },
+        { "instance killed", &killOwner, recoveryTimeout },
+        { "instance killed with a slow store", &killOwnerWithSlowStore, recoveryTimeout },
+        { "instance restarted at once", &restartOwner, recoveryTimeout },
         { "process paused past its lease and continued", &pauseOwner, duration::zero() },
-        { "node cut off from all peers", &cutOwnerFromPeers, servedAgainWithin },
+        { "node cut off from all peers", &cutOwnerFromPeers, recoveryTimeout },
         { "answers lost at each step of the takeover", &loseAnswersInTakeover, seconds(10) },
         { "answers lost and writes late in the takeover", &loseAnswersWithLateEffect, seconds(10) },
         { "store lost in the middle of a takeover", &loseStoreInTakeover, seconds(10) },
         { "two takeovers of one holder", &declareLostTwice, seconds(5) },
         { "fencing instance lost in the takeover", &killOwnerAndItsFencer, seconds(10) },
-        { "availability zone lost", &killZone, servedAgainWithin },
+        { "availability zone lost", &killZone, recoveryTimeout },
         { "all instances restarted at once", &restartAll, seconds(10) },
         { "most witnesses of a holder lost at once", &killMostWitnesses, seconds(10) },
         { "one instance killed and another paused", &killOwnerAndPauseAnother, seconds(10) },
@@ -160,7 +160,7 @@
 
     class ControlFaultTest : public testing::TestWithParam<fault_case> { };
 
-    // Guards against two owners of a partition at one instant, and against partitions that stay without an owner.
+    // Guards against two simultaneous owners of a partition, and against partitions that stay without an owner.
     TEST_P(ControlFaultTest, OneOwnerAlwaysAndServedAgain)
     {
         fake_mesh mesh(3, 3);
@@ -183,9 +183,9 @@
         return name;
     });
 
-    // Guards against a check for two owners that cannot fail: a takeover that does not wait for the end of the grants
-    // must be noticed.
-    TEST(ControlFaultCheck, NoticesTwoOwners)
+    // Guards against a check for two owners that never fails: a takeover that does not wait until the grants have
+    // expired must cause violations.
+    TEST(ControlFaultCheck, DetectsTwoOwners)
     {
         lease_settings settings;
         settings.mutations.noWait = true;
@@ -209,7 +209,7 @@
             mesh.run(seconds(30));
         }
 
-        /// Runs and expects that every partition is served at every step.
+        /// Runs the mesh and expects every partition to be served at each 10 ms step.
         void runServed(duration length)
         {
             for (duration passed {}; passed < length; passed += milliseconds(10)) {
@@ -221,8 +221,8 @@
         fake_mesh mesh { 3, 3 };
     };
 
-    // Guards against renewals that depend on the store.
-    TEST_F(ControlNodeTest, StoreOutageInterruptsNothing)
+    // Guards against lease renewals that depend on the store.
+    TEST_F(ControlNodeTest, StoreOutageDoesNotInterruptService)
     {
         mesh.store.isDown = true;
         runServed(seconds(60));
@@ -231,21 +231,21 @@
         EXPECT_TRUE(mesh.violations.empty());
     }
 
-    TEST_F(ControlNodeTest, SlowStoreInterruptsNothing)
+    TEST_F(ControlNodeTest, SlowStoreDoesNotInterruptService)
     {
         mesh.store.chooseLatency = [] { return milliseconds(1500); };
         runServed(seconds(60));
         EXPECT_TRUE(mesh.violations.empty());
     }
 
-    TEST_F(ControlNodeTest, NodeCutOffFromTheStoreOnlyGoesOn)
+    TEST_F(ControlNodeTest, NodeCutOffFromStoreOnlyKeepsServing)
     {
         mesh.at(mesh.anyOwner()).isCutFromStore = true;
         runServed(seconds(30));
         EXPECT_TRUE(mesh.violations.empty());
     }
 
-    // Guards against a drain that leaves partitions behind or keeps the instance forever.
+    // Guards against a drain that leaves partitions behind or never completes.
     TEST_F(ControlNodeTest, DrainHandsOverEverythingAndLeaves)
     {
         auto& owner = mesh.at(mesh.anyOwner());
@@ -258,7 +258,7 @@
         EXPECT_TRUE(mesh.violations.empty());
     }
 
-    // Guards against a move whose lost answer makes both instances serve the partition.
+    // Guards against a move after whose lost commit response both instances serve the partition.
     TEST_F(ControlNodeTest, DrainWithLostAnswersKeepsOneOwner)
     {
         int commits = 0;
@@ -286,7 +286,8 @@
             EXPECT_FALSE(owner.owns(partition));
     }
 
-    // Guards against a node that goes on with an old configuration: within 4 s it has the new one or serves nothing.
+    // Guards against a node that keeps serving with an old configuration: within 4 s it must have the new one or lose
+    // its lease.
     TEST_F(ControlNodeTest, ConfigurationIsInForceEverywhereOrTheNodeStops)
     {
         const int cut = mesh.anyOwner() == 0 ? 1 : mesh.anyOwner();
@@ -308,8 +309,8 @@
         EXPECT_TRUE(mesh.violations.empty());
     }
 
-    // Guards against two operators who both believe that their change was accepted.
-    TEST_F(ControlNodeTest, OneOfTwoRacingOperatorsWins)
+    // Guards against two concurrent configuration changes on one base version that are both reported as applied.
+    TEST_F(ControlNodeTest, OneOfTwoConcurrentConfigurationChangesWins)
     {
         const auto base = mesh.at(0).node().status().configurationVersion;
         const auto current = *mesh.at(0).node().snapshot()->configuration;
@@ -329,8 +330,8 @@
         EXPECT_NE(loser.error().message.find(std::to_string(base + 1)), std::string::npos) << loser.error().message;
     }
 
-    // Guards against a first assignment that gives most partitions to the member that was seen first: six instances of
-    // a pool got 25, 25, 4, 4, 3 and 3 of 64 partitions.
+    // Guards against a first assignment that gives most partitions to the members that were seen first because of their
+    // capacity ramps: six instances of a pool got 25, 25, 4, 4, 3 and 3 of 64 partitions.
     TEST(ControlNodeStart, FirstAssignmentIsBalanced)
     {
         fake_mesh mesh(3, 2);
@@ -345,8 +346,8 @@
         }
     }
 
-    // Guards against a sole instance that cannot serve, and a second one that breaks its lease when it joins.
-    TEST(ControlNodeStart, FirstInstanceServesAloneAndTakesAWitnessLater)
+    // Guards against a single instance that cannot serve, and against a second one whose joining interrupts its lease.
+    TEST(ControlNodeStart, FirstInstanceServesAloneAndAddsWitnessLater)
     {
         fake_mesh mesh(2, 1);
         mesh.at(0).start();
@@ -357,7 +358,7 @@
         EXPECT_EQ(mesh.unservedPartitions(), 0);
         EXPECT_EQ(mesh.at(0).node().status().witnesses.size(), 1u);
         mesh.at(0).kill();
-        mesh.run(servedAgainWithin);
+        mesh.run(recoveryTimeout);
         EXPECT_EQ(mesh.unservedPartitions(), 0);
         EXPECT_TRUE(mesh.violations.empty());
     }
--- a/src/control/tests/fake_mesh.cpp
+++ b/src/control/tests/fake_mesh.cpp
@@ -45,7 +45,7 @@
     fake_process& m_process;
 };
 
-/// The shared store as one process reaches it.
+/// The shared store as seen by one process, which can be cut off from it.
 class fake_process::store_access : public table_store {
 public:
     store_access(fake_mesh& mesh, fake_process& process)
@@ -84,9 +84,9 @@
 
     template <typename Value> std::function<void(result<Value>)> guarded(std::function<void(result<Value>)> done)
     {
-        // The answer may arrive after this object is gone; the process outlives it.
-        return [&process = m_process, life = m_process.m_life, done = std::move(done)](result<Value> value) {
-            if (life == process.m_life)
+        // The response may arrive after this object is destroyed; the process outlives it.
+        return [&process = m_process, runId = m_process.m_runId, done = std::move(done)](result<Value> value) {
+            if (runId == process.m_runId)
                 process.whenRunning([done, value = std::move(value)] { done(value); });
         };
     }
@@ -111,9 +111,9 @@
     m_store = std::make_unique<store_access>(m_mesh, *this);
     resolving_store_options options;
     options.now = m_mesh.time.clock();
-    options.after = [this, life = m_life](duration delay, std::function<void()> call) {
-        m_mesh.time.after(delay, [this, life, call = std::move(call)] {
-            if (life == m_life)
+    options.after = [this, runId = m_runId](duration delay, std::function<void()> call) {
+        m_mesh.time.after(delay, [this, runId, call = std::move(call)] {
+            if (runId == m_runId)
                 whenRunning(call);
         });
     };
@@ -127,14 +127,14 @@
     ports.resolving = m_resolving.get();
     ports.transport = m_links.get();
     ports.identify = [this](const instance_ref& self) { m_identified = self; };
-    ports.toRequestTask = [this, life = m_life](const to_request_task& message) {
-        m_mesh.time.after({}, [this, life, message] {
-            if (life == m_life)
+    ports.toRequestTask = [this, runId = m_runId](const to_request_task& message) {
+        m_mesh.time.after({}, [this, runId, message] {
+            if (runId == m_runId)
                 whenRunning([this, message] { onControl(message); });
         });
     };
     ports.left = [this] { m_hasLeft = true; };
-    ports.seed = static_cast<std::uint64_t>(index) * 1000 + m_life + 1;
+    ports.seed = static_cast<std::uint64_t>(index) * 1000 + m_runId + 1;
     m_node = control_node::create({ id(), "region", zone, address, address, address, address }, m_mesh.lease, ports);
     m_node->start();
     m_node->onAnnouncement({ address, { { "pool", poolName } }, 12, true });
@@ -143,7 +143,7 @@
 
 void fake_process::kill()
 {
-    ++m_life;
+    ++m_runId;
     m_isPaused = false;
     m_deferred.clear();
     m_node.reset();
@@ -176,8 +176,8 @@
 
 void fake_process::tick()
 {
-    m_mesh.time.after(tickInterval, [this, life = m_life] {
-        if (life != m_life)
+    m_mesh.time.after(tickInterval, [this, runId = m_runId] {
+        if (runId != m_runId)
             return;
         whenRunning([this] {
             m_node->tick();
@@ -276,10 +276,10 @@
     }
 }
 
-std::optional<duration> fake_mesh::runUntilServed(duration most)
+std::optional<duration> fake_mesh::runUntilServed(duration timeout)
 {
     const auto start = time.now();
-    while (time.now() < start + most) {
+    while (time.now() < start + timeout) {
         if (unservedPartitions() == 0)
             return time.now() - start;
         run(checkInterval);
@@ -319,7 +319,7 @@
             continue;
         auto* target = process.get();
         time.after(linkDelay, [this, target, to, &from, sender = *from.identified(), message] {
-            // A message is for one process; the link may have been cut while it was on its way.
+            // A message is addressed to one process, and the link may have been cut during the delivery.
             if (target->identified() == to.self && !(m_isCut && m_isCut(from, *target)))
                 target->receive(sender, message);
         });
--- a/src/control/tests/fake_mesh.h
+++ b/src/control/tests/fake_mesh.h
@@ -15,8 +15,8 @@
 
 class fake_process;
 
-/// A few control nodes in virtual time: real control_nodes on fakes of the store, the links and the request tasks.
-/// Checks at every step that no partition can be served by two processes.
+/// Runs several real control_nodes in virtual time, with fakes for the store, the links and the request tasks. Checks
+/// at every step that no partition can be served by two processes.
 class fake_mesh {
 public:
     fake_mesh(int zones, int instancesPerZone, const lease_settings& = {});
@@ -32,11 +32,11 @@
     void startAll();
     /// Applies a configuration with one pool of 16 partitions through the first node.
     void applyConfiguration(const std::function<void(configuration&)>& change = {});
-    /// Runs until every partition can be served, at most for the time; returns how long that took, or nothing.
-    std::optional<duration> runUntilServed(duration most);
+    /// Runs until every partition can be served. Returns the time that took, or nothing after the timeout.
+    std::optional<duration> runUntilServed(duration timeout);
     void run(duration);
 
-    /// Partitions that no live process can serve now.
+    /// Number of partitions that no live process can serve now.
     int unservedPartitions() const;
     /// Index of a process that owns partitions.
     int anyOwner() const;
@@ -52,7 +52,7 @@
     std::function<bool(const fake_process&, const fake_process&)> m_isCut;
 };
 
-/// One instance: its control node and what its request task would do.
+/// One instance: its control node and a fake of its request task.
 class fake_process {
 public:
     fake_process(fake_mesh&, int index, std::string zone);
@@ -64,7 +64,7 @@
 
     void start();
     void kill();
-    /// The process does nothing until resume(); its clock goes on.
+    /// Suspends the process until resume(); its clock continues to run.
     void pause();
     void resume();
     bool isAlive() const { return m_node != nullptr; }
@@ -77,7 +77,7 @@
     bool owns(partition_index) const;
     void loseBackend() { m_node->onRequestTask(backend_state { false }); }
 
-    /// Runs the call unless the process has been killed since, and not before it is resumed.
+    /// Runs the function at once or, if the process is paused, on resume; not at all if it is killed before.
     void whenRunning(std::function<void()>);
     void receive(const instance_ref& sender, const wire::Message&);
     const std::optional<instance_ref>& identified() const { return m_identified; }
@@ -90,7 +90,7 @@
     void tick();
 
     fake_mesh& m_mesh;
-    std::uint64_t m_life = 0;
+    std::uint64_t m_runId = 0;
     bool m_isPaused = false;
     bool m_hasLeft = false;
     std::vector<std::function<void()>> m_deferred;
@@ -99,7 +99,7 @@
     std::unique_ptr<resolving_store> m_resolving;
     std::unique_ptr<control_node> m_node;
     std::optional<instance_ref> m_identified;
-    // What the request task holds.
+    // State of the fake request task.
     instance_ref m_serving;
     time_point m_leaseEnd;
     bool m_isStopped = false;
