--- a/src/admission/benchmarks/admission_microbenchmark.cpp
+++ b/src/admission/benchmarks/admission_microbenchmark.cpp
@@ -92,8 +92,8 @@
         for (auto _ : state) {
             now += 100us;
             const auto id = *view.pick({}, now);
-            view.started(id, now);
-            view.finished(id, { call_observation::kind::success, 2ms }, now);
+            view.onCallStarted(id, now);
+            view.onCallFinished(id, { call_observation::kind::success, 2ms }, now);
         }
     }
 
--- a/src/admission/benchmarks/server_choice.cpp
+++ b/src/admission/benchmarks/server_choice.cpp
@@ -152,7 +152,7 @@
                 const auto id = *m_views[static_cast<std::size_t>(node)].pick(
                     { .excluded = {}, .mayProbe = true }, arrived.arrival);
                 server = id.back() - '0';
-                m_views[static_cast<std::size_t>(node)].started(id, arrived.arrival);
+                m_views[static_cast<std::size_t>(node)].onCallStarted(id, arrived.arrival);
             }
             m_server[arrived.id - 1] = server;
             if (m_situation.fails(server)) {
@@ -185,7 +185,7 @@
                 const auto latency = at - call.arrival + (isSameZone ? duration::zero() : roundTripAcrossZones);
                 if (m_usesView) {
                     using kind = call_observation::kind;
-                    m_views[static_cast<std::size_t>(nodeOf(id))].finished(
+                    m_views[static_cast<std::size_t>(nodeOf(id))].onCallFinished(
                         idOf(server), { isFailure ? kind::failure : kind::success, latency }, at);
                 }
                 record(call, latency, isFailure, isSameZone);
--- a/src/admission/internal/load_view.cpp
+++ b/src/admission/internal/load_view.cpp
@@ -35,7 +35,7 @@
     : m_random(std::move(random))
     , m_settings(settings)
     , m_outliers(settings.outliers)
-    , m_poolLatency(settings.memory)
+    , m_poolLatency(settings.observationTimeConstant)
 {
 }
 
@@ -47,9 +47,9 @@
     m_servers.push_back({ .id = id,
         .zone = zone,
         .warmUp = slow_start(startedAt, m_settings.slowStart),
-        .latency = decaying_average(m_settings.memory),
-        .failures = decaying_average(m_settings.memory),
-        .refusals = decaying_average(m_settings.memory),
+        .latency = decaying_average(m_settings.observationTimeConstant),
+        .failures = decaying_average(m_settings.observationTimeConstant),
+        .refusals = decaying_average(m_settings.observationTimeConstant),
         .lastReport = std::nullopt });
     m_outliers.add(id, now);
     rebuildIndex();
@@ -94,7 +94,7 @@
     return m_servers[costOf(m_servers[*first], now) <= limit ? *first : *second].id;
 }
 
-void load_view::started(const instance_id& id, time_point now)
+void load_view::onCallStarted(const instance_id& id, time_point now)
 {
     const auto found = m_positions.find(id);
     if (found == m_positions.end())
@@ -104,7 +104,7 @@
         m_outliers.startProbe(id, now);
 }
 
-void load_view::finished(const instance_id& id, const call_observation& observation, time_point now)
+void load_view::onCallFinished(const instance_id& id, const call_observation& observation, time_point now)
 {
     const auto found = m_positions.find(id);
     if (found == m_positions.end())
@@ -128,7 +128,7 @@
     }
     if (m_outliers.observeSuccess(id, now)) {
         server.warmUp = slow_start(now, m_settings.slowStart);
-        server.failures = decaying_average(m_settings.memory);
+        server.failures = decaying_average(m_settings.observationTimeConstant);
     }
 }
 
--- a/src/admission/internal/outlier_detector.cpp
+++ b/src/admission/internal/outlier_detector.cpp
@@ -122,10 +122,10 @@
 
 void outlier_detector::eject(server_state& server, time_point now)
 {
-    const double doubled = inSeconds(m_settings.firstEjection) * std::exp2(std::min(server.ejections, 30));
+    const double doubled = inSeconds(m_settings.baseEjectionTime) * std::exp2(std::min(server.ejections, 30));
     ++server.ejections;
     server.changedAt = now;
-    server.ejectedUntil = now + std::min(m_settings.mostEjection, fromSeconds(doubled));
+    server.ejectedUntil = now + std::min(m_settings.maxEjectionTime, fromSeconds(doubled));
     server.nextProbeAt = server.ejectedUntil;
     server.probesPassed = 0;
 }
--- a/src/admission/internal/retry_budget.cpp
+++ b/src/admission/internal/retry_budget.cpp
@@ -8,7 +8,7 @@
 
 retry_budget::retry_budget(time_point now, const retry_budget_settings& settings)
     : m_settings(settings)
-    , m_tokens(std::min(settings.floorPerSecond, settings.most))
+    , m_tokens(std::min(settings.floorPerSecond, settings.maxBalance))
     , m_filledAt(now)
 {
 }
@@ -27,12 +27,12 @@
 double retry_budget::balance(time_point now) const
 {
     const double sinceFilled = std::max(0.0, inSeconds(now - m_filledAt));
-    return std::min(m_settings.most, m_tokens + sinceFilled * m_settings.floorPerSecond);
+    return std::min(m_settings.maxBalance, m_tokens + sinceFilled * m_settings.floorPerSecond);
 }
 
 void retry_budget::refill(time_point now, double tokens)
 {
-    m_tokens = std::min(m_settings.most, balance(now) + tokens);
+    m_tokens = std::min(m_settings.maxBalance, balance(now) + tokens);
     m_filledAt = std::max(m_filledAt, now);
 }
 
--- a/src/admission/load_view.h
+++ b/src/admission/load_view.h
@@ -38,7 +38,7 @@
 struct load_view_settings {
     std::string zone; ///< Availability zone of this node.
     double zoneTolerance = 1.5; ///< Cost factor up to which a server in the local zone is preferred.
-    duration memory = std::chrono::seconds(5); ///< Time constant of the decay of local observations.
+    duration observationTimeConstant = std::chrono::seconds(5); ///< Time constant of the decay of local observations.
     duration maxReportAge = std::chrono::seconds(3); ///< Older reports are ignored.
     slow_start_settings slowStart {};
     outlier_settings outliers {};
@@ -65,9 +65,9 @@
     /// Returns nullopt if every server is excluded or out of service. Takes O(1) on average unless most servers are out
     /// of service.
     std::optional<instance_id> pick(const pick_options&, time_point now);
-    /// Each picked server that is called must be reported to started() and finished().
-    void started(const instance_id&, time_point now);
-    void finished(const instance_id&, const call_observation&, time_point now);
+    /// Each picked server that is called must be reported to onCallStarted() and onCallFinished().
+    void onCallStarted(const instance_id&, time_point now);
+    void onCallFinished(const instance_id&, const call_observation&, time_point now);
 
     /// Expected latency of one more call, in seconds, with penalties for failures, refusals and reported load. Of two
     /// candidates, the one with the lower cost is picked.
--- a/src/admission/outlier_detector.h
+++ b/src/admission/outlier_detector.h
@@ -14,8 +14,8 @@
     double minCalls = 10; ///< counted over at least this many calls
     duration window = std::chrono::seconds(5); ///< with this time constant.
     double maxEjectedShare = 0.34; ///< Of all servers; one of two or more may always be ejected.
-    duration firstEjection = std::chrono::seconds(5); ///< Doubles with each further ejection,
-    duration mostEjection = std::chrono::minutes(5); ///< up to this time.
+    duration baseEjectionTime = std::chrono::seconds(5); ///< Doubles with each further ejection,
+    duration maxEjectionTime = std::chrono::minutes(5); ///< up to this time.
     duration ejectionResetAfter
         = std::chrono::minutes(10); ///< Time in service after which the count of ejections is reset.
     int probes = 3; ///< Consecutive successful probes before a server returns to service.
--- a/src/admission/retry_budget.h
+++ b/src/admission/retry_budget.h
@@ -8,7 +8,7 @@
 struct retry_budget_settings {
     double share = 0.1; ///< Retries allowed per first attempt.
     double floorPerSecond = 1; ///< Retries allowed per second independently of first attempts.
-    double most = 100; ///< Capacity of the token bucket, in retries.
+    double maxBalance = 100; ///< Capacity of the token bucket, in retries.
 
     bool operator==(const retry_budget_settings&) const = default;
 };
--- a/src/admission/tests/load_view_test.cpp
+++ b/src/admission/tests/load_view_test.cpp
@@ -28,8 +28,8 @@
 
         void call(const instance_id& id, kind outcome, std::optional<duration> latency = 5ms)
         {
-            m_view.started(id, m_now);
-            m_view.finished(id, { outcome, latency }, m_now);
+            m_view.onCallStarted(id, m_now);
+            m_view.onCallFinished(id, { outcome, latency }, m_now);
         }
 
         void warmUp(const instance_id& id, duration latency = 5ms)
@@ -74,7 +74,7 @@
             { "calls in flight",
                 [](view_driver& driver) {
                     for (int count = 0; count < 3; ++count)
-                        driver.view().started("a", driver.now());
+                        driver.view().onCallStarted("a", driver.now());
                 },
                 0.01 },
             { "slower", [](view_driver& driver) { driver.warmUp("a", 50ms); }, 0.01 },
@@ -154,8 +154,8 @@
         auto shares = driver.shares();
         EXPECT_NEAR(shares["a"] + shares["c"], 1, 1e-9);
         for (const auto* id : { "a", "c" }) {
-            driver.view().started(id, start);
-            driver.view().started(id, start);
+            driver.view().onCallStarted(id, start);
+            driver.view().onCallStarted(id, start);
         }
         shares = driver.shares();
         EXPECT_GT(shares["b"] + shares["d"], 0.6);
@@ -181,7 +181,7 @@
         EXPECT_EQ(driver.view().pick({ .excluded = { "a", "b" } }, start), std::nullopt);
         driver.view().remove("b");
         EXPECT_EQ(driver.view().pick({}, start), "a");
-        driver.view().finished("b", { kind::success, 1ms }, start);
+        driver.view().onCallFinished("b", { kind::success, 1ms }, start);
         driver.view().remove("a");
         EXPECT_EQ(driver.view().pick({}, start), std::nullopt);
     }
@@ -198,9 +198,9 @@
         EXPECT_EQ(driver.shares()["a"], 0);
         for (int probe = 0; probe < 3; ++probe) {
             EXPECT_EQ(driver.view().pick({ .mayProbe = true }, driver.now()), "a");
-            driver.view().started("a", driver.now());
+            driver.view().onCallStarted("a", driver.now());
             EXPECT_NE(driver.view().pick({ .mayProbe = true }, driver.now()), "a");
-            driver.view().finished("a", { kind::success, 5ms }, driver.now());
+            driver.view().onCallFinished("a", { kind::success, 5ms }, driver.now());
             driver.pass(500ms);
         }
         EXPECT_EQ(driver.view().condition("a", driver.now()), server_condition::in_service);
--- a/src/admission/tests/retry_test.cpp
+++ b/src/admission/tests/retry_test.cpp
@@ -16,7 +16,7 @@
     // Guards against retries that multiply the load when every call fails.
     TEST(RetryBudget, AllowsAShareOfTheFirstAttempts)
     {
-        retry_budget budget(start, { .share = 0.1, .floorPerSecond = 1, .most = 50 });
+        retry_budget budget(start, { .share = 0.1, .floorPerSecond = 1, .maxBalance = 50 });
         int retries = 0;
         for (int count = 0; count < 10'000; ++count) {
             const auto now = start + count * 1ms;
@@ -29,7 +29,7 @@
     // Guards against a caller with little traffic that may never retry, and against an unbounded budget.
     TEST(RetryBudget, HasAFloorAndACapacity)
     {
-        retry_budget budget(start, { .share = 0.1, .floorPerSecond = 2, .most = 5 });
+        retry_budget budget(start, { .share = 0.1, .floorPerSecond = 2, .maxBalance = 5 });
         EXPECT_TRUE(budget.tryRetry(start));
         EXPECT_TRUE(budget.tryRetry(start));
         EXPECT_FALSE(budget.tryRetry(start + 499ms));
--- a/src/assignment/hot_key_policy.h
+++ b/src/assignment/hot_key_policy.h
@@ -20,14 +20,14 @@
 struct hot_key_action {
     enum class kind {
         isolate, ///< Commit isolateKey().
-        move_home, ///< Hand over the hot partition to the owner of the key's ordinary partition.
+        move_to_ordinary_owner, ///< Hand over the hot partition to the owner of the key's ordinary partition.
         return_key, ///< Commit returnKey().
     };
 
     kind what = kind::isolate;
     std::string key;
     partition_index partition = 0; ///< The hot partition; 0 for isolate.
-    instance_id target; ///< New owner; this instance except for move_home.
+    instance_id target; ///< New owner; this instance except for move_to_ordinary_owner.
 
     bool operator==(const hot_key_action&) const = default;
 };
--- a/src/assignment/internal/hot_key_policy.cpp
+++ b/src/assignment/internal/hot_key_policy.cpp
@@ -72,7 +72,7 @@
         if (now < deadline || !home || !home->owner)
             continue;
         const bool isHome = home->isOwnedBy(self);
-        const auto what = isHome ? hot_key_action::kind::return_key : hot_key_action::kind::move_home;
+        const auto what = isHome ? hot_key_action::kind::return_key : hot_key_action::kind::move_to_ordinary_owner;
         actions.push_back({ what, key, partition, home->owner->id });
     }
     m_returnAt = std::move(next);
--- a/src/assignment/tests/hot_key_test.cpp
+++ b/src/assignment/tests/hot_key_test.cpp
@@ -126,7 +126,7 @@
         {
             const auto ordinary = page(0), hot = page(hotPageNumber);
             const auto change = action.what == hot_key_action::kind::isolate ? isolateKey : returnKey;
-            const auto edit = action.what == hot_key_action::kind::move_home
+            const auto edit = action.what == hot_key_action::kind::move_to_ordinary_owner
                 ? handOver(hot, self, { { action.partition, action.target } }, members, "x")
                 : change(pool, ordinary, hot, self, action.key, members, "x");
             ASSERT_TRUE(edit);
@@ -144,12 +144,12 @@
         EXPECT_TRUE(test.run(4, 10, 0.1).empty()) << "the peak was shorter than 5 s";
         EXPECT_EQ(test.run(10, 60, 0.5), std::vector { kind::isolate });
         EXPECT_TRUE(isHotPartition(test.map.find(test.pool, "key")->index));
-        test.execute(test.home, { kind::move_home, "key", hotPartitionBase, "b" });
+        test.execute(test.home, { kind::move_to_ordinary_owner, "key", hotPartitionBase, "b" });
         EXPECT_TRUE(test.map.find(test.pool, "key")->isOwnedBy(test.other));
         EXPECT_TRUE(test.run(60, 600, 0.1).empty()) << "neither hot nor cold";
         EXPECT_TRUE(test.run(600, 779, 0.01).empty());
         EXPECT_TRUE(test.run(779, 790, 0.1).empty()) << "it was cold for less than 3 min";
-        EXPECT_EQ(test.run(790, 1200, 0.01), (std::vector { kind::move_home, kind::return_key }));
+        EXPECT_EQ(test.run(790, 1200, 0.01), (std::vector { kind::move_to_ordinary_owner, kind::return_key }));
         const auto entry = test.map.find(test.pool, "key");
         EXPECT_FALSE(isHotPartition(entry->index));
         EXPECT_TRUE(entry->isOwnedBy(test.home));
--- a/src/control/internal/assignment_driver.cpp
+++ b/src/control/internal/assignment_driver.cpp
@@ -295,7 +295,7 @@
 
 void assignment_driver::perform(const pool_configuration& pool, const hot_key_action& action, time_point now)
 {
-    if (action.what == hot_key_action::kind::move_home)
+    if (action.what == hot_key_action::kind::move_to_ordinary_owner)
         return movePartition(pool.name, action.partition, action.target, now);
     const auto& partitions = m_context.view.partitions();
     const auto number = pageOf(partitionOf(action.key, pool.partitions));
--- a/src/control/internal/control_node.cpp
+++ b/src/control/internal/control_node.cpp
@@ -67,7 +67,7 @@
 {
     logEvent(log_event::member_registered, { { "self", toString(member.row.self) } });
     m_ports.identify(member.row.self);
-    m_ports.toRequestTask(become_process { member.row.self });
+    m_ports.toRequestTask(start_incarnation { member.row.self });
     if (m_backend)
         m_ports.toRequestTask(backend_update { m_backend });
     m_parts = std::make_unique<incarnation_parts>(*this, member.row);
@@ -288,13 +288,13 @@
     std::visit([this](const auto& value) { on(value); }, message);
 }
 
-void node_impl::on(const partition_quiet& message)
+void node_impl::on(const partition_idle& message)
 {
     if (m_parts)
         m_parts->moves.onPartitionIdle(message.partition);
 }
 
-void node_impl::on(const backend_state& message)
+void node_impl::on(const backend_health& message)
 {
     if (m_isBackendAnswering == message.isAnswering)
         return;
--- a/src/control/internal/lease_driver.cpp
+++ b/src/control/internal/lease_driver.cpp
@@ -19,8 +19,8 @@
     , m_witness(self.self, context.lease, context.now())
 {
     for (const auto& [id, member] : context.view.members())
-        m_witness.learnMember(member.row, context.now());
-    m_witness.learnMember(self, context.now());
+        m_witness.updateMember(member.row, context.now());
+    m_witness.updateMember(self, context.now());
     onConfiguration(context.view.current() ? context.view.current()->version : 0);
 }
 
@@ -115,12 +115,12 @@
         m_witness.answer(renewal, m_context.now()));
 }
 
-void lease_driver::onMember(const member_row& row) { m_witness.learnMember(row, m_context.now()); }
+void lease_driver::onMember(const member_row& row) { m_witness.updateMember(row, m_context.now()); }
 
 void lease_driver::onConfiguration(std::int64_t version)
 {
     m_configurationVersion = version;
-    m_witness.learnConfiguration(version, m_context.now());
+    m_witness.updateConfigurationVersion(version, m_context.now());
 }
 
 void lease_driver::end(lease_end reason) { m_holder.end(reason); }
--- a/src/control/internal/node_impl.h
+++ b/src/control/internal/node_impl.h
@@ -62,8 +62,8 @@
     std::string newOperationId();
 
     void on(const serving_stopped&);
-    void on(const partition_quiet&);
-    void on(const backend_state&);
+    void on(const partition_idle&);
+    void on(const backend_health&);
     void on(const load_sample&);
     void on(const new_strikes&);
     void on(const insert_intent&);
--- a/src/control/internal/takeover_driver.cpp
+++ b/src/control/internal/takeover_driver.cpp
@@ -61,7 +61,7 @@
         m_running.erase(holder);
 }
 
-void takeover_driver::begin(const takeover_call& call, time_point)
+void takeover_driver::begin(const due_takeover& call, time_point)
 {
     takeover_start start;
     start.self = m_self;
@@ -173,7 +173,7 @@
 {
     if (action.outcome == takeover_outcome::completed) {
         logEvent(log_event::takeover_finished, { { "holder", toString(holder) } });
-        m_witness.takeoverFinished(holder);
+        m_witness.onTakeoverFinished(holder);
     }
     m_running.at(holder).timer.reset();
     m_running.at(holder).isReassigning = false;
@@ -220,10 +220,10 @@
     for (const auto& [holder, running] : m_running)
         holders.push_back(holder);
     for (const auto& holder : holders)
-        handle(holder, member_seen { member });
+        handle(holder, member_updated { member });
 }
 
-void takeover_driver::onHeartbeat(const instance_ref& holder) { handle(holder, holder_heard {}); }
+void takeover_driver::onHeartbeat(const instance_ref& holder) { handle(holder, renewal_received {}); }
 
 void takeover_driver::declareLost(const instance_ref& holder)
 {
--- a/src/control/internal/takeover_driver.h
+++ b/src/control/internal/takeover_driver.h
@@ -37,7 +37,7 @@
         std::optional<time_point> readPagesAt; ///< When to retry reading the pages.
     };
 
-    void begin(const takeover_call&, time_point now);
+    void begin(const due_takeover&, time_point now);
     void handle(const instance_ref& holder, const takeover_input&);
     void perform(const instance_ref& holder, const std::vector<takeover_action>&);
     void on(const instance_ref& holder, const read_row&);
--- a/src/control/tests/fake_mesh.cpp
+++ b/src/control/tests/fake_mesh.cpp
@@ -196,7 +196,7 @@
 
 void fake_process::onControl(const to_request_task& message)
 {
-    if (const auto* become = std::get_if<become_process>(&message)) {
+    if (const auto* become = std::get_if<start_incarnation>(&message)) {
         m_serving = become->self;
         m_isStopped = false;
         m_leaseEnd = {};
@@ -212,7 +212,7 @@
             m_leaseEnd = lease->end;
     } else if (const auto* partition = std::get_if<stop_partition>(&message)) {
         m_stoppedPartitions.insert(partition->partition);
-        m_node->onRequestTask(partition_quiet { partition->partition });
+        m_node->onRequestTask(partition_idle { partition->partition });
     } else if (const auto* resumed = std::get_if<resume_partition>(&message)) {
         m_stoppedPartitions.erase(resumed->partition);
     }
--- a/src/control/tests/fake_mesh.h
+++ b/src/control/tests/fake_mesh.h
@@ -75,7 +75,7 @@
     /// Whether the request task would start a call of the partition now.
     bool canServe(partition_index) const;
     bool owns(partition_index) const;
-    void loseBackend() { m_node->onRequestTask(backend_state { false }); }
+    void loseBackend() { m_node->onRequestTask(backend_health { false }); }
 
     /// Runs the function at once or, if the process is paused, on resume; not at all if it is killed before.
     void whenRunning(std::function<void()>);
--- a/src/gate/internal/slot_queue.cpp
+++ b/src/gate/internal/slot_queue.cpp
@@ -129,7 +129,7 @@
     return std::erase_if(m_waiting, [&](const auto& request) { return request.id == id; }) > 0;
 }
 
-std::vector<request_number> slot_queue::takeHopeless(time_point now)
+std::vector<request_number> slot_queue::takeUnservable(time_point now)
 {
     std::ranges::sort(m_waiting, [&](const auto& left, const auto& right) { return precedes(left, right, now); });
     std::vector<request_number> out;
--- a/src/gate/internal/transfer_queue.cpp
+++ b/src/gate/internal/transfer_queue.cpp
@@ -37,7 +37,7 @@
         std::chrono::duration<double>(bytes / (m_settings.bytesPerSecond * largeAnswerShare)));
 }
 
-void transfer_queue::learn(const std::string& kind, std::size_t bytes)
+void transfer_queue::recordResponseSize(const std::string& kind, std::size_t bytes)
 {
     if (m_meanBytes.size() > maxKinds)
         m_meanBytes.clear();
--- a/src/gate/slot_queue.h
+++ b/src/gate/slot_queue.h
@@ -52,7 +52,7 @@
     /// Removes a waiting request; false if it is not in the queue.
     bool cancel(request_number);
     /// Removes and returns waiting requests that can no longer be served in time.
-    std::vector<request_number> takeHopeless(time_point now);
+    std::vector<request_number> takeUnservable(time_point now);
     /// Removes and returns the next request to run, if a slot is free.
     std::optional<request_number> takeNext(time_point now);
 
--- a/src/gate/tests/slot_queue_test.cpp
+++ b/src/gate/tests/slot_queue_test.cpp
@@ -111,8 +111,8 @@
         slot_queue queue({ 1, milliseconds(100) });
         queue.submit(makeRequest(1), start);
         queue.submit(makeRequest(2, 250, 300), start);
-        EXPECT_TRUE(queue.takeHopeless(start + milliseconds(100)).empty());
-        EXPECT_EQ(queue.takeHopeless(start + milliseconds(290)), std::vector<request_number> { 2 });
+        EXPECT_TRUE(queue.takeUnservable(start + milliseconds(100)).empty());
+        EXPECT_EQ(queue.takeUnservable(start + milliseconds(290)), std::vector<request_number> { 2 });
         EXPECT_EQ(queue.waiting(), 0u);
     }
 
@@ -161,7 +161,7 @@
                 if (decision == queue_decision::refuse)
                     out.refusedAfter.push_back({});
             }
-            for (const auto id : queue.takeHopeless(now))
+            for (const auto id : queue.takeUnservable(now))
                 out.refusedAfter.push_back(now - arrivedAt[id]);
             std::erase_if(running, [&](const auto& entry) {
                 const auto& [id, times] = entry;
--- a/src/gate/tests/transfer_queue_test.cpp
+++ b/src/gate/tests/transfer_queue_test.cpp
@@ -51,8 +51,8 @@
     {
         transfer_queue queue({ linkBytesPerSecond });
         for (int i = 0; i < 200; ++i) {
-            queue.learn("download", downloadBytes);
-            queue.learn("check", smallBytes);
+            queue.recordResponseSize("download", downloadBytes);
+            queue.recordResponseSize("check", smallBytes);
         }
         EXPECT_EQ(queue.deliveryTime("download", start), duration());
         for (request_number id = 1; id <= 10; ++id)
--- a/src/gate/transfer_queue.h
+++ b/src/gate/transfer_queue.h
@@ -37,7 +37,7 @@
     std::optional<time_point> nextAt() const;
 
     /// Updates the mean answer size of a kind with the size of an answer.
-    void learn(const std::string& kind, std::size_t bytes);
+    void recordResponseSize(const std::string& kind, std::size_t bytes);
     /// Time until all expected and waiting answers have been sent; zero for a kind with small answers.
     duration deliveryTime(const std::string& kind, time_point now) const;
     std::size_t waiting() const { return m_waiting.size(); }
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -45,7 +45,7 @@
     /// Whether an answer without a length is whole when its connection is closed in order. It never is after a reset.
     bool acceptsUnframedAnswers = false;
     /// Idle connections are used again for this long, or for a little less than the server's Keep-Alive header says.
-    duration mostIdleTime = std::chrono::hours(24);
+    duration idleConnectionTimeout = std::chrono::hours(24);
     /// Silence after which the kernel gives a connection up; zero: the kernel's own default.
     duration silenceLimit {};
     /// Time to establish a connection; zero: the deadline of the call alone.
--- a/src/http/internal/client_connection.cpp
+++ b/src/http/internal/client_connection.cpp
@@ -60,7 +60,7 @@
 client_connection::client_connection(event_base* base, const endpoint& server, const http_client_options& options)
     : m_peerName(toString(server))
     , m_acceptsUnframed(options.acceptsUnframedAnswers)
-    , m_mostIdleTime(options.mostIdleTime)
+    , m_idleConnectionTimeout(options.idleConnectionTimeout)
     , m_connectTimer(base, [this] { end(connection_end::silent); })
     , m_parser(message_parser::side::responses, headerLimitBytes,
           { [this] { return acceptHead(); },
@@ -199,7 +199,7 @@
 void client_connection::learnKeepAlive(const http_headers& headers)
 {
     const auto now = boot_clock::now();
-    m_usableUntil = now + m_mostIdleTime;
+    m_usableUntil = now + m_idleConnectionTimeout;
     const auto value = headers.find("Keep-Alive");
     if (!value)
         return;
--- a/src/http/internal/client_connection.h
+++ b/src/http/internal/client_connection.h
@@ -59,7 +59,7 @@
 
     std::string m_peerName;
     bool m_acceptsUnframed;
-    duration m_mostIdleTime;
+    duration m_idleConnectionTimeout;
     timer m_connectTimer;
     stream_handle m_stream;
     message_parser m_parser;
--- a/src/lease/internal/takeover.cpp
+++ b/src/lease/internal/takeover.cpp
@@ -97,7 +97,7 @@
     checkInquiry(now);
 }
 
-void takeover::on(const member_seen& seen, time_point now) { updateRow(seen.row, now); }
+void takeover::on(const member_updated& seen, time_point now) { updateRow(seen.row, now); }
 
 void takeover::on(const timer_due&, time_point now)
 {
@@ -135,7 +135,7 @@
 
 // Once the row is fencing, or may be, the takeover cannot be abandoned: any instance that reads this state completes
 // it.
-void takeover::on(const holder_heard&, time_point)
+void takeover::on(const renewal_received&, time_point)
 {
     const bool isUnmarked = m_stage == takeover_stage::reading || m_stage == takeover_stage::inquiring;
     const bool isMarkSeen = m_holderRow && m_holderRow->row.state == member_state::fencing;
--- a/src/lease/internal/witness.cpp
+++ b/src/lease/internal/witness.cpp
@@ -68,7 +68,7 @@
     return { inquiry.holder, m_self, silence };
 }
 
-void witness::learnMember(const member_row& row, time_point now)
+void witness::updateMember(const member_row& row, time_point now)
 {
     detectPause(now);
     const auto position = std::find_if(
@@ -90,7 +90,7 @@
         record.refusedUpTo = std::max(record.refusedUpTo, row.self.number);
 }
 
-void witness::learnConfiguration(std::int64_t version, time_point now)
+void witness::updateConfigurationVersion(std::int64_t version, time_point now)
 {
     detectPause(now);
     if (!m_versions.empty() && version <= m_versions.back().version)
@@ -108,18 +108,18 @@
     return newer != m_versions.end() && now - newer->since > m_settings.staleConfigurationLimit;
 }
 
-void witness::takeoverFinished(const instance_ref& holder)
+void witness::onTakeoverFinished(const instance_ref& holder)
 {
     const auto found = m_records.find(holder.id);
     if (found != m_records.end())
         found->second.finishedUpTo = std::max(found->second.finishedUpTo, holder.number);
 }
 
-std::vector<takeover_call> witness::takeoversDue(time_point now)
+std::vector<due_takeover> witness::takeoversDue(time_point now)
 {
     detectPause(now);
     evictIdleRecords(now);
-    std::vector<takeover_call> calls;
+    std::vector<due_takeover> calls;
     for (const auto& [id, record] : m_records) {
         if (isDue(record, now))
             calls.push_back({ { id, record.newestIncarnation }, isFencedState(record.state) });
--- a/src/lease/takeover.h
+++ b/src/lease/takeover.h
@@ -42,16 +42,16 @@
 // Inputs, in addition to those of row_actions.h.
 
 /// A replicated row arrived: of the holder, this instance or a witness.
-struct member_seen {
+struct member_updated {
     versioned_member row;
 };
 /// A renewal of the holder arrived at this node's witness.
-struct holder_heard { };
+struct renewal_received { };
 /// An operator confirms that the holder's process is not running and will not resume.
 struct declared_lost { };
 struct pages_reassigned { };
 using takeover_input = std::variant<row_read, read_failed, commit_done, lease_promise, promise_refusal, silence_report,
-    member_seen, timer_due, holder_heard, declared_lost, pages_reassigned>;
+    member_updated, timer_due, renewal_received, declared_lost, pages_reassigned>;
 
 enum class takeover_stage {
     reading, ///< Reads this instance's row and the holder's.
@@ -66,7 +66,7 @@
 struct takeover_start {
     instance_ref self;
     instance_ref holder;
-    bool isResumed = false; ///< As in takeover_call.
+    bool isResumed = false; ///< As in due_takeover.
     std::string operationPrefix; ///< Prefix of the operation ids, unique per object.
     std::uint64_t seed = 0; ///< For the jitter.
 };
@@ -93,9 +93,9 @@
     void on(const lease_promise&, time_point now);
     void on(const promise_refusal&, time_point now);
     void on(const silence_report&, time_point now);
-    void on(const member_seen&, time_point now);
+    void on(const member_updated&, time_point now);
     void on(const timer_due&, time_point now);
-    void on(const holder_heard&, time_point now);
+    void on(const renewal_received&, time_point now);
     void on(const declared_lost&, time_point now);
     void on(const pages_reassigned&, time_point now);
 
--- a/src/lease/tests/lease_history.cpp
+++ b/src/lease/tests/lease_history.cpp
@@ -112,8 +112,8 @@
             if (!process.localWitness || process.replicatedRows[indexOf(row.row.self.id)].version >= row.version)
                 return;
             process.replicatedRows[indexOf(row.row.self.id)] = row;
-            process.localWitness->learnMember(row.row, m_world.clockOf(at));
-            feedAll(at, member_seen { row });
+            process.localWitness->updateMember(row.row, m_world.clockOf(at));
+            feedAll(at, member_updated { row });
         }
 
         // Processes.
@@ -168,7 +168,7 @@
             process.replicatedRows = m_rows.members;
             process.localWitness.emplace(process.self, m_plan.settings, m_world.clockOf(index));
             for (const auto& entry : m_rows.members)
-                process.localWitness->learnMember(entry.row, m_world.clockOf(index));
+                process.localWitness->updateMember(entry.row, m_world.clockOf(index));
             if (index != 0)
                 return m_world.at(m_world.now() + m_world.between(0, tickInterval), index, [=, this] { tick(index); });
             m_holderRow = row;
@@ -244,7 +244,7 @@
             if (std::holds_alternative<lease_grant>(answer) && m_promised.contains({ process.self, renewal.holder }))
                 violate("a grant after a promise");
             std::visit([&](const auto& value) { send(at, idOf(from), value); }, answer);
-            feedAll(at, holder_heard {}, renewal.holder);
+            feedAll(at, renewal_received {}, renewal.holder);
         }
 
         void receive(unsigned at, unsigned from, const promise_request& request)
@@ -413,7 +413,7 @@
                 [](const report_blocked&) {},
                 [&](const finished& done) {
                     if (done.outcome == takeover_outcome::completed)
-                        m_processes[index].localWitness->takeoverFinished(done.holder);
+                        m_processes[index].localWitness->onTakeoverFinished(done.holder);
                     m_world.at(m_world.now(), index, [=, this] { m_processes[index].takeovers.erase(id); });
                 },
             };
--- a/src/lease/tests/takeover_test.cpp
+++ b/src/lease/tests/takeover_test.cpp
@@ -162,7 +162,7 @@
         test.reportSilence(a, 749);
         test.reportSilence({ "b", 2 }, 5000);
         EXPECT_EQ(test.machine.stage(), takeover_stage::inquiring);
-        test.feed(holder_heard {});
+        test.feed(renewal_received {});
         EXPECT_EQ(test.all<finished>().at(0).outcome, takeover_outcome::abandoned);
         EXPECT_TRUE(test.all<commit_row>().empty());
     }
@@ -206,7 +206,7 @@
             fixture test;
             test.start();
             test.put(newer);
-            test.feed(member_seen { test.rows[newer.self.id] });
+            test.feed(member_updated { test.rows[newer.self.id] });
             test.reportSilence(a, 5000);
             EXPECT_EQ(test.machine.stage(), takeover_stage::finished);
             EXPECT_TRUE(test.all<commit_row>().empty());
@@ -264,7 +264,7 @@
         EXPECT_EQ(test.holder().state, member_state::fencing);
         restarted.self.number = 3;
         restarted.firstAtAddress = 1;
-        test.feed(member_seen { { 2, restarted } });
+        test.feed(member_updated { { 2, restarted } });
         test.advance(5529);
         EXPECT_EQ(test.holder().state, member_state::fencing);
         test.advance(5530);
--- a/src/lease/tests/witness_test.cpp
+++ b/src/lease/tests/witness_test.cpp
@@ -59,19 +59,19 @@
                  w.answer(promise_request { { "h", 3 }, { "w", 1 } }, at(0));
              },
                 renewalOf(3), 0, "granted" },
-            { [](witness& w) { w.learnMember(holderRow(4, member_state::active, { self }), at(0)); }, renewalOf(3), 0,
+            { [](witness& w) { w.updateMember(holderRow(4, member_state::active, { self }), at(0)); }, renewalOf(3), 0,
                 "superseded" },
             { [](witness& w) { w.answer(renewalOf(4), at(0)); }, renewalOf(3), 0, "superseded" },
-            { [](witness& w) { w.learnMember(holderRow(3, member_state::fencing, { self }), at(0)); }, renewalOf(3), 0,
+            { [](witness& w) { w.updateMember(holderRow(3, member_state::fencing, { self }), at(0)); }, renewalOf(3), 0,
                 "granted" },
-            { [](witness& w) { w.learnMember(holderRow(3, member_state::fenced, {}), at(0)); }, renewalOf(3), 0,
+            { [](witness& w) { w.updateMember(holderRow(3, member_state::fenced, {}), at(0)); }, renewalOf(3), 0,
                 "fenced" },
-            { [](witness& w) { w.learnConfiguration(6, at(0)); }, renewalOf(3), 2000, "granted" },
-            { [](witness& w) { w.learnConfiguration(6, at(0)); }, renewalOf(3), 2001, "stale_configuration" },
-            { [](witness& w) { w.learnConfiguration(6, at(0)), w.learnConfiguration(7, at(2000)); }, renewalOf(3, 6),
-                2001, "granted" },
-            { [](witness& w) { w.learnConfiguration(6, at(0)), w.learnConfiguration(7, at(2000)); }, renewalOf(3, 5),
-                2001, "stale_configuration" },
+            { [](witness& w) { w.updateConfigurationVersion(6, at(0)); }, renewalOf(3), 2000, "granted" },
+            { [](witness& w) { w.updateConfigurationVersion(6, at(0)); }, renewalOf(3), 2001, "stale_configuration" },
+            { [](witness& w) { w.updateConfigurationVersion(6, at(0)), w.updateConfigurationVersion(7, at(2000)); },
+                renewalOf(3, 6), 2001, "granted" },
+            { [](witness& w) { w.updateConfigurationVersion(6, at(0)), w.updateConfigurationVersion(7, at(2000)); },
+                renewalOf(3, 5), 2001, "stale_configuration" },
         };
         for (std::size_t i = 0; i < std::size(cases); ++i) {
             witness asked(self, settings, at(0));
@@ -103,7 +103,7 @@
         EXPECT_EQ(asked.size(), 101u);
         asked.takeoversDue(at(2000));
         EXPECT_EQ(asked.size(), 1u);
-        asked.learnMember(holderRow(4, member_state::active, {}), at(2000));
+        asked.updateMember(holderRow(4, member_state::active, {}), at(2000));
         asked.takeoversDue(at(4000));
         EXPECT_EQ(answerTo(asked, renewalOf(3), 4000), "superseded");
     }
@@ -112,7 +112,7 @@
     int dueAfter(const member_row& row, const std::vector<int>& renewals, std::pair<int, int> pause = { 0, 0 })
     {
         witness asked(self, settings, at(0));
-        asked.learnMember(row, at(0));
+        asked.updateMember(row, at(0));
         for (int ms = 0; ms <= 5000; ms += 100) {
             if (ms > pause.first && ms < pause.second)
                 continue;
@@ -148,12 +148,12 @@
         asked.answer(renewalOf(3), at(100));
         EXPECT_EQ(
             asked.answer(silence_inquiry { { "h", 3 }, self }, at(300)).silentFor, std::chrono::milliseconds(200));
-        asked.learnMember(holderRow(3, member_state::fenced, { self }), at(300));
+        asked.updateMember(holderRow(3, member_state::fenced, { self }), at(300));
         for (int ms = 400; ms <= 1300; ms += 100)
             asked.takeoversDue(at(ms));
-        const std::vector<takeover_call> expected { { { "h", 3 }, true } };
+        const std::vector<due_takeover> expected { { { "h", 3 }, true } };
         EXPECT_EQ(asked.takeoversDue(at(1300)), expected);
-        asked.takeoverFinished({ "h", 3 });
+        asked.onTakeoverFinished({ "h", 3 });
         EXPECT_TRUE(asked.takeoversDue(at(1400)).empty());
     }
 
--- a/src/lease/witness.h
+++ b/src/lease/witness.h
@@ -14,12 +14,12 @@
 using promise_answer = std::variant<lease_promise, promise_refusal>;
 
 /// An instance whose takeover is due at this witness.
-struct takeover_call {
+struct due_takeover {
     instance_ref holder;
     /// The row is fencing or fenced already and the takeover must be completed; otherwise the holder is silent.
     bool isResumed = false;
 
-    auto operator<=>(const takeover_call&) const = default;
+    auto operator<=>(const due_takeover&) const = default;
 };
 
 /// Witness's side of all leases, for one incarnation of the witnessing instance. Does no input or output: `now` is the
@@ -34,16 +34,16 @@
     silence_report answer(const silence_inquiry&, time_point now);
 
     /// Applies a row that was read from the store or replicated. Rows older than one passed before must not be passed.
-    void learnMember(const member_row&, time_point now);
+    void updateMember(const member_row&, time_point now);
     /// Sets the configuration version that is in force at this node from `now` on.
-    void learnConfiguration(std::int64_t version, time_point now);
+    void updateConfigurationVersion(std::int64_t version, time_point now);
     /// Call when all partitions of the holder have other owners.
-    void takeoverFinished(const instance_ref& holder);
+    void onTakeoverFinished(const instance_ref& holder);
 
     /// Takeovers that are due; each is returned by every call until it is finished or a renewal of the holder arrives.
     /// Must be called at least once per pauseLimit(): a longer gap counts as a pause of this process, in which it
     /// received nothing, and all silence is measured from the end of the gap.
-    std::vector<takeover_call> takeoversDue(time_point now);
+    std::vector<due_takeover> takeoversDue(time_point now);
 
     /// Number of instances with a record.
     std::size_t size() const { return m_records.size(); }
--- a/src/mesh/internal/answer_sender.h
+++ b/src/mesh/internal/answer_sender.h
@@ -18,7 +18,7 @@
     /// Expected time until the response to a request of this kind has been transmitted over the link.
     duration deliveryTime(const std::string& kind) const;
     /// Records the size of a response of this kind.
-    void recordSize(const std::string& kind, std::size_t bytes) { m_queue.learn(kind, bytes); }
+    void recordSize(const std::string& kind, std::size_t bytes) { m_queue.recordResponseSize(kind, bytes); }
     void send(request_number, const http_exchange_ptr&, http_response);
     /// Discards the response because the other node no longer waits for it.
     void drop(request_number);
--- a/src/mesh/internal/entry_call.cpp
+++ b/src/mesh/internal/entry_call.cpp
@@ -44,7 +44,7 @@
     , m_context(service.m_context)
     , m_exchange(std::move(exchange))
     , m_request(std::move(request))
-    , m_maxAttempts(std::max(1, route.mostAttempts))
+    , m_maxAttempts(std::max(1, route.maxAttempts))
     , m_receivedAt(boot_clock::now())
     , m_retry(m_context.base, [this] { sendNext(); })
 {
@@ -112,7 +112,7 @@
     const auto now = boot_clock::now();
     m_attempt = attempt { node, nullptr, 0, now };
     if (!m_request.key)
-        m_context.directory.view(m_request.service).started(node, now);
+        m_context.directory.view(m_request.service).onCallStarted(node, now);
     const auto weak = weak_from_this();
     if (node == m_context.settings.node) {
         const auto id = m_context.gate.execute(m_request, [weak](gate_answer answer) {
@@ -181,7 +181,7 @@
         seen.latency = now - m_attempt->startedAt;
     } else
         seen.outcome = kind::failure;
-    m_context.directory.view(m_request.service).finished(m_attempt->node, seen, now);
+    m_context.directory.view(m_request.service).onCallFinished(m_attempt->node, seen, now);
 }
 
 bool entry_call::shouldRetry(const gate_answer& answer, time_point now)
@@ -277,7 +277,8 @@
     if (m_attempt) {
         if (!m_request.key) {
             m_context.directory.view(m_request.service)
-                .finished(m_attempt->node, { call_observation::kind::cancelled, std::nullopt }, boot_clock::now());
+                .onCallFinished(
+                    m_attempt->node, { call_observation::kind::cancelled, std::nullopt }, boot_clock::now());
         }
         if (m_attempt->remote)
             m_attempt->remote->cancel();
--- a/src/mesh/internal/entry_service.cpp
+++ b/src/mesh/internal/entry_service.cpp
@@ -55,7 +55,7 @@
     retry_budget_settings settings;
     settings.share = m_context.settings.retryShare * retryBudgetShare;
     settings.floorPerSecond = 0.1;
-    settings.most = 3;
+    settings.maxBalance = 3;
     return m_budgets.try_emplace(service, boot_clock::now(), settings).first->second;
 }
 
--- a/src/mesh/internal/gate_service.cpp
+++ b/src/mesh/internal/gate_service.cpp
@@ -21,7 +21,7 @@
         http_client_options options;
         options.maximumConnections = connections;
         options.acceptsUnframedAnswers = true;
-        options.mostIdleTime = maxIdleTime;
+        options.idleConnectionTimeout = maxIdleTime;
         return options;
     }
 
@@ -277,7 +277,7 @@
 void gate_service::sweep()
 {
     const auto now = boot_clock::now();
-    for (const auto id : m_queue.takeHopeless(now))
+    for (const auto id : m_queue.takeUnservable(now))
         answer(id, refusal(error_code::overloaded));
     std::vector<request_number> late;
     for (const auto& [id, entry] : m_requests) {
--- a/src/mesh/internal/mesh_directory.cpp
+++ b/src/mesh/internal/mesh_directory.cpp
@@ -24,7 +24,7 @@
     {
         http_client_options options;
         options.maximumConnections = maxPeerConnections;
-        options.mostIdleTime = peerIdleTime;
+        options.idleConnectionTimeout = peerIdleTime;
         options.silenceLimit = silenceLimit;
         options.connectTimeout = connectTimeout;
         return options;
@@ -35,10 +35,10 @@
         load_view_settings settings;
         settings.zone = zone;
         settings.zoneTolerance = 1.1;
-        settings.memory = std::chrono::seconds(3);
+        settings.observationTimeConstant = std::chrono::seconds(3);
         settings.slowStart = { std::chrono::seconds(3), 0.3 };
-        settings.outliers.firstEjection = std::chrono::seconds(1);
-        settings.outliers.mostEjection = std::chrono::seconds(8);
+        settings.outliers.baseEjectionTime = std::chrono::seconds(1);
+        settings.outliers.maxEjectionTime = std::chrono::seconds(8);
         settings.outliers.window = std::chrono::seconds(2);
         settings.outliers.probes = 1;
         return settings;
--- a/src/mesh/internal/ownership.cpp
+++ b/src/mesh/internal/ownership.cpp
@@ -72,7 +72,7 @@
     , m_store(store)
     , m_row(std::move(mapRow))
     , m_hooks(std::move(hooks))
-    , m_keeper(termsOf(settings), m_hooks.now())
+    , m_holdManager(termsOf(settings), m_hooks.now())
     , m_startedAt(m_hooks.now())
     , m_random(seededRandom(hashBytes(settings.node)))
     , m_tick(base, [this] { advance(); })
@@ -108,9 +108,9 @@
     if (m_firstSeenAt.size() > maxSeenAssignments)
         m_firstSeenAt.erase(m_firstSeenAt.begin());
     if (readAt)
-        m_keeper.confirm(map, *readAt);
+        m_holdManager.confirm(map, *readAt);
     else
-        m_keeper.setMap(map);
+        m_holdManager.setMap(map);
     m_hooks.onChanged();
 }
 
@@ -132,46 +132,46 @@
 bool ownership::isAwaitingGrant() const
 {
     return std::ranges::any_of(m_map.ranges(), [&](const auto& range) {
-        return range.owner == m_keeper.life() && !range.releasing.empty() && isGrantImminent(range);
+        return range.owner == m_holdManager.life() && !range.releasing.empty() && isGrantImminent(range);
     });
 }
 
 void ownership::setPresumedLife(const life_name& life)
 {
-    if (m_keeper.life().empty())
+    if (m_holdManager.life().empty())
         m_presumedLife = life;
 }
 
 key_access ownership::access(key_number key) const
 {
     // Before the first heartbeat the holds are unknown; the backend server itself refuses keys that it does not hold.
-    if (m_keeper.life().empty() && !m_presumedLife.empty()) {
+    if (m_holdManager.life().empty() && !m_presumedLife.empty()) {
         const auto& range = m_map.find(key);
         return range.owner == m_presumedLife && range.releasing.empty() ? key_access::serve : key_access::refuse;
     }
-    if (m_keeper.mayServe(key, m_hooks.now()))
+    if (m_holdManager.mayServe(key, m_hooks.now()))
         return key_access::serve;
     const auto& range = m_map.find(key);
-    return range.owner == m_keeper.life() && isGrantImminent(range) ? key_access::wait : key_access::refuse;
+    return range.owner == m_holdManager.life() && isGrantImminent(range) ? key_access::wait : key_access::refuse;
 }
 
 void ownership::handleHeartbeat(const backend_announcement& announcement)
 {
     const auto life = announcement.life();
-    if (life != m_keeper.life()) {
-        const auto previous = m_keeper.life().empty() ? m_presumedLife : m_keeper.life();
-        m_keeper.startLife(life);
+    if (life != m_holdManager.life()) {
+        const auto previous = m_holdManager.life().empty() ? m_presumedLife : m_holdManager.life();
+        m_holdManager.startLife(life);
         m_isDraining = false;
         onPredecessorEnded(previous);
     }
-    m_keeper.report({ life, announcement.holds, announcement.released });
+    m_holdManager.report({ life, announcement.holds, announcement.released });
     propose();
 }
 
 hold_grant ownership::grant(time_point receivedAt)
 {
-    const auto before = m_keeper.grantedCount();
-    const auto grant = m_keeper.grant(receivedAt);
+    const auto before = m_holdManager.grantedCount();
+    const auto grant = m_holdManager.grant(receivedAt);
     logGrant(grant, before, receivedAt);
     m_hooks.onChanged();
     return grant;
@@ -180,15 +180,15 @@
 void ownership::onBackendEnded(const life_name& life)
 {
     m_endedLives.insert(life);
-    if (m_keeper.life() == life)
-        m_keeper.distrustGrants();
+    if (m_holdManager.life() == life)
+        m_holdManager.invalidateGrants();
     propose();
 }
 
 void ownership::onPredecessorEnded(const life_name& previous)
 {
     // The present life listens at the address of the earlier one, which has therefore ended.
-    if (previous.empty() || previous == m_keeper.life())
+    if (previous.empty() || previous == m_holdManager.life())
         return;
     m_endedLives.insert(previous);
     m_previousLife = previous;
@@ -216,11 +216,11 @@
 
 void ownership::confirmIfDue(time_point now)
 {
-    const bool isOwner = !m_keeper.life().empty() && m_map.hasOwner(m_keeper.life());
+    const bool isOwner = !m_holdManager.life().empty() && m_map.hasOwner(m_holdManager.life());
     if (!isOwner)
         return;
     // A write of this node that may still take effect would invalidate the promises of the others.
-    const auto age = now - m_keeper.confirmedAt();
+    const auto age = now - m_holdManager.confirmedAt();
     if (now >= m_extensionDueAt && m_unresolvedVersion != m_version && age > extensionAge) {
         m_extensionDueAt = now + extensionInterval;
         m_hooks.askOtherOwners();
@@ -257,7 +257,7 @@
         adoptCurrent(outcome.value(), sentAt);
     const bool isCurrent = isApplied && version == m_version;
     if (isCurrent)
-        m_keeper.confirm(m_map, sentAt);
+        m_holdManager.confirm(m_map, sentAt);
     for (const auto& done : waiting)
         done(isCurrent);
     propose();
@@ -274,16 +274,16 @@
     std::set<life_name> lives;
     for (const auto& range : m_map.ranges())
         lives.insert(range.owner);
-    lives.erase(m_keeper.life());
+    lives.erase(m_holdManager.life());
     lives.erase(life_name());
     return { lives.begin(), lives.end() };
 }
 
-void ownership::onConfirmed(time_point at) { m_keeper.confirm(m_map, at); }
+void ownership::onConfirmed(time_point at) { m_holdManager.confirm(m_map, at); }
 
 void ownership::onPromised(time_point askedAt)
 {
-    m_keeper.extend(askedAt);
+    m_holdManager.extend(askedAt);
     m_hooks.onChanged();
 }
 
@@ -317,7 +317,7 @@
 map_statement ownership::promise(const life_name& holder)
 {
     const auto now = m_hooks.now();
-    const bool isOwner = m_map.hasOwner(m_keeper.life());
+    const bool isOwner = m_map.hasOwner(m_holdManager.life());
     if (!isOwner || m_isWriting || m_unresolvedVersion == m_version || now < m_startedAt + lateWriteTime)
         return map_statement::unknown;
     m_promisedUntil[holder] = now + std::chrono::duration_cast<duration>(promiseTime * leaseSafety);
@@ -346,7 +346,7 @@
 {
     range_map out = map;
     for (const auto& range : map.ranges()) {
-        if (range.owner != m_keeper.life() || range.releasing.empty())
+        if (range.owner != m_holdManager.life() || range.releasing.empty())
             continue;
         const auto seen = m_firstSeenAt.find(range.fence);
         const auto silence = std::chrono::milliseconds(range.silenceMs);
@@ -374,7 +374,7 @@
         m_orphanedSince = now;
     // Owners act first: a holder that is cut off from the store asks only owners for promises, so that only they know
     // which keys must not be taken over.
-    const bool isOwner = m_map.hasOwner(m_keeper.life()) || !m_map.hasOwners();
+    const bool isOwner = m_map.hasOwner(m_holdManager.life()) || !m_map.hasOwners();
     const auto rank = std::count_if(candidates.begin(), self,
         [&](const auto& candidate) { return m_version == 0 || !isOwner || m_map.hasOwner(candidate.range.life); });
     time_point due = m_orphanedSince + rank * coordinatorStep;
@@ -402,7 +402,7 @@
     // A holder that is cut off from the store may keep its keys beyond its lease if all other owners promised,
     // including this node and its previous process. Keys are not moved while such a promise may be valid.
     const bool mayMove = !m_isDraining && m_storeAnswered && now >= m_startedAt + startupGracePeriod
-        && m_map.hasOwner(m_keeper.life())
+        && m_map.hasOwner(m_holdManager.life())
         && std::ranges::none_of(m_promisedUntil, [&](const auto& entry) { return now < entry.second; });
     return mayMove ? m_hooks.balance(map, m_version + 1, now) : map;
 }
@@ -414,7 +414,7 @@
     if (m_endedLives.size() > maxEndedLives)
         std::erase_if(m_endedLives, [&](const auto& ended) { return !m_map.names(ended); });
     range_map next = m_map;
-    const auto& life = m_keeper.life();
+    const auto& life = m_holdManager.life();
     for (const auto& ended : m_endedLives) {
         if (ended == m_previousLife && life.empty())
             continue;
@@ -423,7 +423,7 @@
         next = next.replace(ended, hasSuccessor ? life : life_name(), m_version + 1);
     }
     if (!life.empty()) {
-        next = m_keeper.releaseUnheld(next, now);
+        next = m_holdManager.releaseUnheld(next, now);
         next = releaseAfterSilence(next, now);
     }
     if (m_isDraining) {
@@ -468,7 +468,7 @@
     }
     m_conflicts = 0;
     m_confirmDueAt = std::max(m_confirmDueAt, sentAt + confirmInterval);
-    const auto affected = proposed.livesOfChanges(m_map);
+    const auto affected = proposed.affectedOwners(m_map);
     recordCheck(outcome.value().version, sentAt);
     adopt(proposed, outcome.value().version, sentAt);
     m_hooks.onWritten(affected);
--- a/src/mesh/internal/ownership.h
+++ b/src/mesh/internal/ownership.h
@@ -4,7 +4,7 @@
 #include "base/event_handle.h"
 #include "mesh/internal/gate_service.h"
 #include "mesh/internal/owner_candidate.h"
-#include "ranges/hold_keeper.h"
+#include "ranges/hold_manager.h"
 #include "ranges/range_planner.h"
 #include "settings/mesh_settings.h"
 #include "store/watched_store.h"
@@ -76,7 +76,7 @@
 
     /// Lives of the other owners; an extension of the lease needs the promises of all of them.
     std::vector<life_name> otherOwners() const;
-    const life_name& life() const { return m_keeper.life(); }
+    const life_name& life() const { return m_holdManager.life(); }
     /// Called when another owner confirmed that the present map was current in the store at this time.
     void onConfirmed(time_point at);
     /// Called when all other owners promised not to take over keys; they were asked at this time or later.
@@ -121,7 +121,7 @@
     watched_store& m_store;
     row_key m_row;
     ownership_hooks m_hooks;
-    hold_keeper m_keeper;
+    hold_manager m_holdManager;
     range_map m_map;
     row_version m_version = 0;
     bool m_isTableRead = false;
--- a/src/mesh/internal/ownership_log.cpp
+++ b/src/mesh/internal/ownership_log.cpp
@@ -10,14 +10,14 @@
     const auto milliseconds = [](duration value) {
         return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(value).count());
     };
-    const bool isUnusual = grant.isValid ? grant.ranges.size() != before : m_map.hasOwner(m_keeper.life());
+    const bool isUnusual = grant.isValid ? grant.ranges.size() != before : m_map.hasOwner(m_holdManager.life());
     if (!isUnusual)
         return;
     logEvent(grant.isValid ? log_event::holds_renewed : log_event::holds_not_renewed,
-        { { "life", m_keeper.life() }, { "ranges", std::to_string(grant.ranges.size()) },
+        { { "life", m_holdManager.life() }, { "ranges", std::to_string(grant.ranges.size()) },
             { "ranges_before", std::to_string(before) }, { "hold_ms", milliseconds(grant.hold) },
             { "map_version", std::to_string(m_version) },
-            { "map_confirmed_ms_ago", milliseconds(receivedAt - m_keeper.confirmedAt()) } });
+            { "map_confirmed_ms_ago", milliseconds(receivedAt - m_holdManager.confirmedAt()) } });
 }
 
 void ownership::logMap(const range_map& map, row_version version, bool isOwnCall) const
@@ -32,9 +32,9 @@
     logEvent(log_event::range_map_changed,
         { { "version", std::to_string(version) }, { "learned_by", isOwnCall ? "own call" : "feed" },
             { "ranges", std::to_string(map.ranges().size()) },
-            { "own_keys", std::to_string(map.keyCount(m_keeper.life())) }, { "releasing", std::to_string(releasing) },
-            { "without_live_owner", std::to_string(orphaned) }, { "candidates", std::to_string(candidates.size()) },
-            { "life", m_keeper.life() } });
+            { "own_keys", std::to_string(map.keyCount(m_holdManager.life())) },
+            { "releasing", std::to_string(releasing) }, { "without_live_owner", std::to_string(orphaned) },
+            { "candidates", std::to_string(candidates.size()) }, { "life", m_holdManager.life() } });
 }
 
 } // namespace heatherdrift
--- a/src/mesh/platform_port.h
+++ b/src/mesh/platform_port.h
@@ -4,7 +4,7 @@
 #include "base/identifiers.h"
 #include "base/store_types.h"
 #include "http/http_message.h"
-#include "ranges/hold_keeper.h"
+#include "ranges/hold_manager.h"
 #include "routes/route_configuration.h"
 
 #include <functional>
--- a/src/ranges/hold_keeper.h
+++ b/src/ranges/hold_manager.h
@@ -9,7 +9,7 @@
 struct hold_terms {
     duration lease {}; ///< Without promises, a hold ends at most this long after the range map was confirmed.
     duration promise {}; ///< Period for which other owners promise not to take over any keys.
-    duration mostExtension {}; ///< Longest extension of a hold beyond the lease by promises.
+    duration maxHoldExtension {}; ///< Longest extension of a hold beyond the lease by promises.
     duration longestHold {}; ///< Longest hold that backend servers accept.
     double clockDrift = 0.02; ///< Maximum share by which a backend server's clock may run slow.
 
@@ -60,10 +60,10 @@
 
 /// Grants holds to the local backend server and detects when they have ended. Expiry is based on the boot clock, which
 /// continues while the machine is suspended.
-class hold_keeper {
+class hold_manager {
 public:
     /// Holds granted by a previous process may still last for a whole lease or promise after the start.
-    hold_keeper(const hold_terms&, time_point startedAt);
+    hold_manager(const hold_terms&, time_point startedAt);
 
     /// Sets the range map; it was current in the store at the given time or later.
     void confirm(const range_map&, time_point at);
@@ -87,7 +87,7 @@
     /// Whether requests for the key may be sent to the backend server.
     bool mayServe(key_number, time_point now) const;
     /// Discards the grants after the backend server rejected a key as not held.
-    void distrustGrants() { m_granted.clear(); }
+    void invalidateGrants() { m_granted.clear(); }
     std::size_t grantedCount() const { return m_granted.size(); }
 
 private:
--- a/src/ranges/internal/hold_keeper.cpp
+++ b/src/ranges/internal/hold_manager.cpp
@@ -1,4 +1,4 @@
-#include "ranges/hold_keeper.h"
+#include "ranges/hold_manager.h"
 
 #include <algorithm>
 
@@ -27,21 +27,21 @@
 
 } // namespace
 
-hold_keeper::hold_keeper(const hold_terms& terms, time_point startedAt)
+hold_manager::hold_manager(const hold_terms& terms, time_point startedAt)
     : m_terms(terms)
     , m_holdEnd(startedAt + std::max(terms.lease, terms.promise))
 {
 }
 
-void hold_keeper::confirm(const range_map& map, time_point at)
+void hold_manager::confirm(const range_map& map, time_point at)
 {
     m_map = map;
     m_confirmedAt = std::max(m_confirmedAt, at);
 }
 
-void hold_keeper::setMap(const range_map& map) { m_map = map; }
+void hold_manager::setMap(const range_map& map) { m_map = map; }
 
-void hold_keeper::startLife(const life_name& life)
+void hold_manager::startLife(const life_name& life)
 {
     // A previous process may have granted holds to the first incarnation seen by this process, but to no later one.
     if (!m_life.empty())
@@ -54,15 +54,15 @@
     m_reportCount = 0;
 }
 
-void hold_keeper::extend(time_point at) { m_promisedUntil = std::max(m_promisedUntil, at + m_terms.promise); }
+void hold_manager::extend(time_point at) { m_promisedUntil = std::max(m_promisedUntil, at + m_terms.promise); }
 
-time_point hold_keeper::latestHoldEnd() const
+time_point hold_manager::latestHoldEnd() const
 {
     const auto byStore = m_confirmedAt + m_terms.lease;
-    return std::max(byStore, std::min(m_promisedUntil, byStore + m_terms.mostExtension));
+    return std::max(byStore, std::min(m_promisedUntil, byStore + m_terms.maxHoldExtension));
 }
 
-duration hold_keeper::holdDuration(time_point receivedAt) const
+duration hold_manager::holdDuration(time_point receivedAt) const
 {
     // The backend server counts the hold from when it sent the report, so its hold ends before the one counted from
     // the receipt.
@@ -71,7 +71,7 @@
     return std::min(byClock, m_terms.longestHold);
 }
 
-void hold_keeper::report(const hold_report& report)
+void hold_manager::report(const hold_report& report)
 {
     if (report.life != m_life)
         return;
@@ -90,7 +90,7 @@
         m_released.erase(m_released.begin(), m_released.end() - maxPendingReleases);
 }
 
-hold_grant hold_keeper::grant(time_point receivedAt)
+hold_grant hold_manager::grant(time_point receivedAt)
 {
     hold_grant grant;
     grant.hold = holdDuration(receivedAt);
@@ -109,13 +109,13 @@
     return grant;
 }
 
-bool hold_keeper::isHeld(key_range keys) const
+bool hold_manager::isHeld(key_range keys) const
 {
     return anyIntersects(m_reported, keys) || anyIntersects(m_granted, keys)
         || anyIntersects(m_previouslyGranted, keys);
 }
 
-range_map hold_keeper::releaseUnheld(const range_map& map, time_point now) const
+range_map hold_manager::releaseUnheld(const range_map& map, time_point now) const
 {
     range_map out = map;
     for (const auto& range : map.ranges()) {
@@ -140,7 +140,7 @@
     return out;
 }
 
-bool hold_keeper::mayServe(key_number key, time_point now) const
+bool hold_manager::mayServe(key_number key, time_point now) const
 {
     if (now + serveMargin >= m_holdEnd)
         return false;
--- a/src/ranges/internal/range_map.cpp
+++ b/src/ranges/internal/range_map.cpp
@@ -239,7 +239,7 @@
     return range_map(std::move(ranges));
 }
 
-std::set<life_name> range_map::livesOfChanges(const range_map& before) const
+std::set<life_name> range_map::affectedOwners(const range_map& before) const
 {
     std::set<life_name> lives;
     for (const auto& range : m_ranges) {
--- a/src/ranges/range_map.h
+++ b/src/ranges/range_map.h
@@ -83,7 +83,7 @@
     range_map withSilence(std::int64_t silenceMs) const;
 
     /// Current and earlier owners of the ranges that differ from an earlier map.
-    std::set<life_name> livesOfChanges(const range_map& before) const;
+    std::set<life_name> affectedOwners(const range_map& before) const;
 
     std::string toJson() const;
     static result<range_map> fromJson(std::string_view);
--- a/src/routes/route_configuration.h
+++ b/src/routes/route_configuration.h
@@ -23,7 +23,7 @@
     std::string prefix; ///< Begins and ends with '/'.
     bool isIdempotent = false;
     std::vector<service_share> services; ///< At least one.
-    int mostAttempts = 1; ///< Maximum number of backend servers to which a request is sent.
+    int maxAttempts = 1; ///< Maximum number of backend servers to which a request is sent.
     duration timeout {}; ///< Longest time until the final answer; zero: limited only by the caller's deadline.
     duration latencyObjective {}; ///< Time within which requests should be answered; zero: unknown.
     int priority = 0; ///< 0 is the highest.
--- a/src/routing/internal/member_picker.cpp
+++ b/src/routing/internal/member_picker.cpp
@@ -17,7 +17,7 @@
     };
     selection.onStarted = [this](const instance_ref& member) {
         if (auto* pool = viewOf(member))
-            pool->view->started(member.id, m_now());
+            pool->view->onCallStarted(member.id, m_now());
     };
     selection.onEnded
         = [this](const instance_ref& member, const call_observation& observation) { onCallEnded(member, observation); };
@@ -82,7 +82,7 @@
 void member_picker::onCallEnded(const instance_ref& member, const call_observation& observation)
 {
     if (auto* pool = viewOf(member))
-        pool->view->finished(member.id, observation, m_now());
+        pool->view->onCallFinished(member.id, observation, m_now());
 }
 
 member_picker::pool_view* member_picker::viewOf(const instance_ref& member)
--- a/src/routing/internal/request_task.cpp
+++ b/src/routing/internal/request_task.cpp
@@ -123,7 +123,7 @@
         refuseUntilRegistered(*exchange);
 }
 
-void request_task::on(const become_process& message)
+void request_task::on(const start_incarnation& message)
 {
     if (m_parts)
         m_retired.push_back(std::move(m_parts));
@@ -176,13 +176,13 @@
     m_parts->executor.setBackend(
         std::make_unique<backend_link>(m_base, m_backend->address, defaultConnections), *m_backend);
     m_parts->monitor = std::make_unique<backend_monitor>(m_base, m_backend->address, m_hooks.now,
-        backend_monitor::hooks { [this](bool isAnswering) { m_hooks.toControlTask(backend_state { isAnswering }); },
+        backend_monitor::hooks { [this](bool isAnswering) { m_hooks.toControlTask(backend_health { isAnswering }); },
             [this](bool isCrashed) { m_parts->executor.onBackendChecked(isCrashed); } });
 }
 
 void request_task::on(const stop_partition& message)
 {
-    const auto answer = [this, partition = message.partition] { m_hooks.toControlTask(partition_quiet { partition }); };
+    const auto answer = [this, partition = message.partition] { m_hooks.toControlTask(partition_idle { partition }); };
     if (m_parts)
         m_parts->executor.stopPartition(message.partition, answer);
     else
--- a/src/routing/request_task.h
+++ b/src/routing/request_task.h
@@ -58,7 +58,7 @@
     result<void> listen();
     void handleEntry(http_exchange_ptr);
     void handleForward(http_exchange_ptr);
-    void on(const become_process&);
+    void on(const start_incarnation&);
     void on(const stop_serving&);
     void on(const use_snapshot&);
     void on(const lease_update&);
--- a/src/routing/task_messages.h
+++ b/src/routing/task_messages.h
@@ -17,7 +17,7 @@
 
 /// Serves under this incarnation from now on. Calls of the previous incarnation continue, but no new ones are started
 /// for it.
-struct become_process {
+struct start_incarnation {
     instance_ref self;
 };
 /// Starts no more calls under this incarnation and cancels those that need ownership for their whole run. Answered with
@@ -36,7 +36,7 @@
 struct backend_update {
     std::optional<backend_description> backend;
 };
-/// Answered with partition_quiet when no call holds the partition any more.
+/// Answered with partition_idle when no call holds the partition any more.
 struct stop_partition {
     partition_id partition;
 };
@@ -52,7 +52,7 @@
     result<void> outcome = outcome::success();
 };
 
-using to_request_task = std::variant<become_process, stop_serving, use_snapshot, lease_update, backend_update,
+using to_request_task = std::variant<start_incarnation, stop_serving, use_snapshot, lease_update, backend_update,
     stop_partition, resume_partition, start_draining, add_strikes, intent_inserted>;
 
 // Messages from the request task to the control task.
@@ -60,11 +60,11 @@
 struct serving_stopped {
     instance_ref self;
 };
-struct partition_quiet {
+struct partition_idle {
     partition_id partition;
 };
 /// Result of the backend server's health checks.
-struct backend_state {
+struct backend_health {
     bool isAnswering = false;
 };
 /// Load of the last interval at this node's backend server.
@@ -85,6 +85,6 @@
 };
 
 using to_control_task
-    = std::variant<serving_stopped, partition_quiet, backend_state, load_sample, new_strikes, insert_intent>;
+    = std::variant<serving_stopped, partition_idle, backend_health, load_sample, new_strikes, insert_intent>;
 
 } // namespace heatherdrift
--- a/src/routing/tests/request_path_fixture.h
+++ b/src/routing/tests/request_path_fixture.h
@@ -79,7 +79,7 @@
         hooks.toControlTask = [&node](to_control_task message) { node.sent.push_back(std::move(message)); };
         hooks.seed = number;
         node.task = request_task::create(base.get(), settings, hooks).value();
-        node.task->post(become_process { node.self });
+        node.task->post(start_incarnation { node.self });
         node.task->post(backend_update { backend_description { backends[name].server->address(), {}, 4, true } });
         setLease(name, boot_clock::now() + std::chrono::hours(1));
     }
