--- a/src/assignment/tests/page_edit_test.cpp
+++ b/src/assignment/tests/page_edit_test.cpp
@@ -213,7 +213,7 @@
     }
 
     // Guards against a move that never ends because its successor's membership row has changed after a lost response
-    // (once found by AssignmentHistory).
+    // (once found by history 1678 of AssignmentHistory).
     TEST(PlannedMove, EndsWhenSuccessorChanged)
     {
         move_fixture test;
--- a/src/assignment/tests/partition_map_test.cpp
+++ b/src/assignment/tests/partition_map_test.cpp
@@ -37,7 +37,8 @@
     }
 
     // Guards against a wrong owner of a key when the ordinary or the hot page is outdated, including a hot page from an
-    // earlier isolation of the same key (once found by AssignmentHistory).
+    // earlier isolation of the same key (the case of the earlier isolation was once found by history 13184492987 of
+    // AssignmentHistory).
     TEST(PartitionMap, FindsHotKeyWithOldPages)
     {
         const auto pool = makePool(1);
--- a/src/mesh/tests/mesh_directory_test.cpp
+++ b/src/mesh/tests/mesh_directory_test.cpp
@@ -70,7 +70,7 @@
     }
 
     // Guards against repeated removal of the rows of live nodes because of one failure long ago (29 removals in 8 s
-    // were seen without load).
+    // were seen under normal load).
     TEST_F(MeshDirectoryTest, OneOldFailureDoesNotMakeANodeSilent)
     {
         directory.recordFailure("n2", error_code::connection_failed, start);
--- a/src/mesh/tests/watch_schedule_test.cpp
+++ b/src/mesh/tests/watch_schedule_test.cpp
@@ -125,7 +125,8 @@
         }
     }
 
-    // Guards against calls to the store that grow with the number of nodes (84 idle nodes made 4,851 calls).
+    // Guards against calls to the store that grow with the number of nodes (84 nodes under normal load made
+    // 4,851 calls).
     TEST(WatchScheduleTest, CallsDoNotGrowWithTheNodes)
     {
         for (const std::size_t nodes : { 14, 84, 690 }) {
